--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -89,7 +89,7 @@
 	case wire.Stop:
 		delete(h.instances, h.current)
 	case wire.Members:
-		inst.Members(b.Now, e.Kind, e.Entries)
+		inst.ListUpdated(b.Now, e.Kind, e.Entries)
 	case wire.Request:
 		inst.Request(b.Now, e.Request)
 	case wire.Started:
--- a/internal/node/call_log.go
+++ b/internal/node/call_log.go
@@ -30,12 +30,12 @@
 func (g *callLog) began(call *listCall, addr string) {
 	level := slog.LevelDebug
 	switch {
-	case call.Reason == policy.CallStart, call.Reason == policy.CallMoved, call.Reason == policy.CallLate && !g.late:
+	case call.Reason == policy.CallReasonStart, call.Reason == policy.CallReasonAddressChanged, call.Reason == policy.CallReasonLate && !g.late:
 		level = slog.LevelInfo
 	}
-	g.late = g.late || call.Reason == policy.CallLate
+	g.late = g.late || call.Reason == policy.CallReasonLate
 	g.log.Log(context.Background(), level, "calling discovery", "reason", call.Reason.String(), "call", call.ID,
-		"since", call.since, "whole", call.whole, "wait", call.Wait, "addr", addr)
+		"since", call.since, "whole", call.whole, "wait", call.WaitForChanges, "addr", addr)
 }
 
 // failed logs a call that came to nothing: the first one of a kind at once, and then one a second with
@@ -70,7 +70,7 @@
 func (g *callLog) taken(list serverList, addr string) {
 	inService := 0
 	for _, entry := range list.entries {
-		if entry.State == policy.Ready {
+		if entry.State == policy.StateInService {
 			inService++
 		}
 	}
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -283,7 +283,9 @@
 		t.Fatal(err)
 	}
 	go l.run(t.Context())
-	l.post(func() { l.hear(policy.ListFull, []policy.Entry{{Server: 1, State: policy.Ready}}, []string{s.addr}) })
+	l.post(func() {
+		l.hear(policy.ListWhole, []policy.Entry{{Server: 1, State: policy.StateInService}}, []string{s.addr})
+	})
 	g := newClients(8)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -202,7 +202,7 @@
 	d.leave()
 	d.addr, d.source, d.rev = addr, sourceID(addr), 0
 	d.loseVersion()
-	d.tell(policy.ListMoved, policy.Origin{}, serverList{})
+	d.tell(policy.ListAddressChanged, policy.Origin{}, serverList{})
 }
 
 // leave gives up all calls that are out.
@@ -268,7 +268,7 @@
 	address := url.URL{Scheme: "http", Host: d.addr, Path: "/discovery/hosts"}
 	if !call.whole {
 		address.RawQuery = "since=" + strconv.FormatInt(call.since, 10) +
-			"&timeout_ms=" + strconv.FormatInt(max(call.Wait, pollWait).Milliseconds(), 10)
+			"&timeout_ms=" + strconv.FormatInt(max(call.WaitForChanges, pollWait).Milliseconds(), 10)
 	}
 	return address
 }
@@ -292,7 +292,7 @@
 	reply := callReply{call: call}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	limit := newProgress(call.Wait+d.patience, d.patience, func() { cancel(context.DeadlineExceeded) })
+	limit := newProgress(call.WaitForChanges+d.patience, d.patience, func() { cancel(context.DeadlineExceeded) })
 	defer limit.stop()
 	limit.arrived = func(bytes int) { d.arrived(call.ID, int64(bytes)) }
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, address.String(), nil)
@@ -353,7 +353,7 @@
 	if errors.As(reply.err, &status) && status.code/100 == 4 && call.epoch == d.epoch {
 		d.loseVersion() // discovery does not know it: start over
 	}
-	end := policy.CallEnd{ID: call.ID, Result: policy.CallAnswered, Bytes: reply.bytes}
+	end := policy.CallEnd{ID: call.ID, Result: policy.CallAnswered, UnusableBytes: reply.bytes}
 	var unusable *unusableError
 	switch {
 	case errors.As(reply.err, &unusable):
@@ -417,7 +417,7 @@
 	if reply.namesAll() {
 		return policy.ListOutdated
 	}
-	return policy.ListLeaving
+	return policy.ListPartial
 }
 
 // goesBack tells whether an answer is of an earlier version than its call asked from, or than the node had then.
@@ -436,11 +436,11 @@
 	d.log.taken(list, d.addr)
 	origin := policy.Origin{Source: d.source, Version: list.rev}
 	if list.all {
-		d.tell(policy.ListFull, origin, list)
+		d.tell(policy.ListWhole, origin, list)
 		return changed
 	}
 	d.logChanges(list)
-	d.tell(policy.ListDelta, origin, list)
+	d.tell(policy.ListChanges, origin, list)
 	return changed
 }
 
@@ -470,14 +470,14 @@
 )
 
 // state reads a word for a server's state. One that is new to us gets no new work.
-func state(word string) policy.State {
+func state(word string) policy.ServerState {
 	switch word {
 	case stateInService:
-		return policy.Ready
+		return policy.StateInService
 	case stateGone:
-		return policy.Gone
+		return policy.StateGone
 	}
-	return policy.Draining
+	return policy.StateDraining
 }
 
 // serverID names a server to the module: the same for a uid at all times, so
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -122,7 +122,7 @@
 	var got followed
 	d := newDiscovery(service.Listener.Addr().String(), siteOf(t, text), newClock(), slog.New(slog.NewTextHandler(&written, nil)))
 	d.members = func(news listNews) {
-		if news.kind == policy.ListFull {
+		if news.kind == policy.ListWhole {
 			got.servers = news.entries
 		}
 	}
@@ -131,9 +131,9 @@
 			stop()
 			return
 		}
-		d.orders.add(callOrder{call: policy.Call{ID: end.ID + 1, Reason: policy.CallRetry}})
+		d.orders.add(callOrder{call: policy.Call{ID: end.ID + 1, Reason: policy.CallReasonRetry}})
 	}
-	d.orders.add(callOrder{call: policy.Call{ID: 1, Reason: policy.CallStart}})
+	d.orders.add(callOrder{call: policy.Call{ID: 1, Reason: policy.CallReasonStart}})
 	d.run(ctx)
 	got.log = written.String()
 	return got
@@ -169,7 +169,7 @@
 					}
 				}
 				for _, end := range got.failed() {
-					if end.Result != policy.CallUnusable || end.Bytes < 1 {
+					if end.Result != policy.CallUnusable || end.UnusableBytes < 1 {
 						t.Errorf("a call ends with %+v, want an answer of some length that can't be used", end)
 					}
 				}
@@ -189,7 +189,7 @@
 		t.Fatalf("%d servers are left of the list that was good, %d failures; want 3 and 3", len(got.servers), len(got.failed()))
 	}
 	for _, end := range got.failed() {
-		if end.Result != policy.CallUnusable || end.Bytes < 3*maxListServers {
+		if end.Result != policy.CallUnusable || end.UnusableBytes < 3*maxListServers {
 			t.Errorf("a call ends with %+v, want an answer of %d bytes that can't be used", end, len(over))
 		}
 	}
@@ -256,7 +256,7 @@
 		calls[id] = &listCall{Call: policy.Call{ID: id}, since: 41, began: time.Now(), end: func() {}}
 		d.out[id] = calls[id]
 	}
-	entries := []policy.Entry{{Server: 1, State: policy.Draining}}
+	entries := []policy.Entry{{Server: 1, State: policy.StateDraining}}
 	d.replied(callReply{call: calls[2], list: serverList{rev: 43, entries: entries, endpoints: []string{""}}})
 	d.replied(callReply{call: calls[1], list: serverList{rev: 42, entries: entries, endpoints: []string{""}}})
 	if len(handed) != 1 || d.rev != 43 || !d.listed {
--- a/internal/node/gate.go
+++ b/internal/node/gate.go
@@ -32,7 +32,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, line := range lines {
-		if line.State != policy.Ready {
+		if line.State != policy.StateInService {
 			g.closed[line.Server]++
 		}
 	}
@@ -58,7 +58,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, line := range lines {
-		if line.State == policy.Ready {
+		if line.State == policy.StateInService {
 			continue
 		}
 		if g.closed[line.Server]--; g.closed[line.Server] == 0 {
--- a/internal/node/gate_test.go
+++ b/internal/node/gate_test.go
@@ -21,7 +21,7 @@
 		a := attempt{clock: newClock(), gate: gate, request: &request{}, server: server}
 		return a.begin()
 	}
-	lines := []policy.Entry{{Server: 1, State: policy.Draining}, {Server: 2, State: policy.Ready}, {Server: 3, State: policy.Gone}}
+	lines := []policy.Entry{{Server: 1, State: policy.StateDraining}, {Server: 2, State: policy.StateInService}, {Server: 3, State: policy.StateGone}}
 	first, second := gate.shut(lines, false), gate.shut(lines[:1], false)
 	if begins(1) || begins(3) || !begins(2) || !begins(4) {
 		t.Error("attempts begin at servers that are being taken out, or not at others")
@@ -78,8 +78,8 @@
 		l := testLoop(t)
 		var text bytes.Buffer
 		l.log = newRequestLog(slog.New(slog.NewTextHandler(&text, nil)))
-		l.hear(policy.ListFull, []policy.Entry{{Server: 1, State: policy.Ready}}, []string{"one"})
-		l.hear(policy.ListDelta, []policy.Entry{{Server: 1, State: policy.Draining}}, []string{"one"})
+		l.hear(policy.ListWhole, []policy.Entry{{Server: 1, State: policy.StateInService}}, []string{"one"})
+		l.hear(policy.ListChanges, []policy.Entry{{Server: 1, State: policy.StateDraining}}, []string{"one"})
 		a := &attempt{request: &request{id: 7, answered: true}, server: 1, cancel: func() {}}
 		a.begun.Store(int64(l.now + c.begun))
 		l.outcome(a, policy.OK, l.now)
--- a/internal/node/hollow_fleet_test.go
+++ b/internal/node/hollow_fleet_test.go
@@ -93,7 +93,7 @@
 	up := newUpstream(site.ConnIdle, site.ConnectTimeout, 0)
 	disco := newDiscovery(addr, site, c, log)
 	disco.client.Transport = countingTransport{&http.Transport{MaxIdleConnsPerHost: 1}, calls}
-	site.Settings.Node, site.Settings.LongPoll = number, true
+	site.Settings.Node, site.Settings.LongPolling = number, true
 	l, err := newLoop(site.Settings, uint64(number), c, up, disco.orders)
 	if err != nil {
 		tb.Fatal(err)
@@ -103,7 +103,7 @@
 	disco.members = func(news listNews) {
 		members(news)
 		switch news.kind {
-		case policy.ListFull, policy.ListDelta:
+		case policy.ListWhole, policy.ListChanges:
 			heard(disco.rev)
 		case policy.ListCached:
 			heard(known.Rev)
@@ -119,7 +119,7 @@
 	var running sync.WaitGroup
 	running.Go(func() { l.run(ctx) })
 	running.Go(func() {
-		disco.start(known, site.Settings.ListAsked)
+		disco.start(known, site.Settings.ListOnRequest)
 		disco.run(ctx)
 	})
 	return &hollowNode{loop: l, calls: calls, stop: func() { cancel(); running.Wait() }}
--- a/internal/node/list.go
+++ b/internal/node/list.go
@@ -54,7 +54,7 @@
 func (l *serverList) add(t target, zones []string, c clock) {
 	l.entries = append(l.entries, policy.Entry{
 		Server: serverID(t.UID), Zone: slices.Index(zones, t.AZ), Cell: t.PodGroup,
-		State: state(t.State), Weight: max(0, t.CapacityHint), Started: c.fromUnixMs(t.BootMs),
+		State: state(t.State), Weight: max(0, t.CapacityHint), StartedAt: c.fromUnixMs(t.BootMs),
 	})
 	l.endpoints = append(l.endpoints, t.Endpoint)
 	if len(l.first) < linesKept {
--- a/internal/node/list_cost_test.go
+++ b/internal/node/list_cost_test.go
@@ -41,7 +41,7 @@
 			t.Cleanup(func() { service.CloseClientConnections(); service.Close() })
 			site := siteOf(t, settings)
 			set := site.Settings
-			set.LongPoll, set.ListAsked = true, asked
+			set.LongPolling, set.ListOnRequest = true, asked
 			c := newClock()
 			d := newDiscovery(service.Listener.Addr().String(), site, c, slog.New(slog.DiscardHandler))
 			l, err := newLoop(set, 1, c, newUpstream(time.Hour, patience, 8), d.orders)
@@ -76,11 +76,11 @@
 	drained := make([]policy.Entry, servers)
 	for i, e := range list.entries {
 		drained[i] = e
-		drained[i].State = policy.Draining
+		drained[i].State = policy.StateDraining
 	}
-	l.members(heard(policy.ListFull, 11, drained, list.endpoints...))
+	l.members(heard(policy.ListWhole, 11, drained, list.endpoints...))
 	text.Reset()
-	l.members(heard(policy.ListFull, 10, list.entries, list.endpoints...))
+	l.members(heard(policy.ListWhole, 10, list.entries, list.endpoints...))
 	if lines := bytes.Count(text.Bytes(), []byte("\n")); lines > 4*linesKept {
 		t.Errorf("a list of %d servers is logged in %d lines, %d bytes", servers, lines, text.Len())
 	}
--- a/internal/node/list_test.go
+++ b/internal/node/list_test.go
@@ -188,7 +188,7 @@
 	if 2*len(text) > maxListBytes || 2*servers > maxListServers || math.MaxInt32 < maxListBytes {
 		t.Errorf("%d servers in %d bytes are too close to the bounds", servers, len(text))
 	}
-	if list.entries[0] != (policy.Entry{Server: serverID("s-00000000"), Cell: 3, State: policy.Ready, Weight: 1}) {
+	if list.entries[0] != (policy.Entry{Server: serverID("s-00000000"), Cell: 3, State: policy.StateInService, Weight: 1}) {
 		t.Errorf("the first server is %+v", list.entries[0])
 	}
 }
--- a/internal/node/lives_test.go
+++ b/internal/node/lives_test.go
@@ -49,8 +49,8 @@
 }
 
 // lifeOf is a line of server 1 at one of its starts.
-func lifeOf(state policy.State, started time.Duration) policy.Entry {
-	return policy.Entry{Server: 1, State: state, Started: started}
+func lifeOf(state policy.ServerState, started time.Duration) policy.Entry {
+	return policy.Entry{Server: 1, State: state, StartedAt: started}
 }
 
 // heard is a list or changes of a source at a version.
@@ -65,23 +65,23 @@
 	begins := clockOrigin
 	for name, play := range map[string]func(l *loop){
 		"changes name the former life behind the new one": func(l *loop) {
-			l.members(heard(policy.ListDelta, 11, []policy.Entry{
-				lifeOf(policy.Ready, begins), lifeOf(policy.Draining, begins-time.Hour)}, present, former))
+			l.members(heard(policy.ListChanges, 11, []policy.Entry{
+				lifeOf(policy.StateInService, begins), lifeOf(policy.StateDraining, begins-time.Hour)}, present, former))
 		},
 		"changes name the end of the former life behind the new one": func(l *loop) {
-			l.members(heard(policy.ListDelta, 11, []policy.Entry{
-				lifeOf(policy.Ready, begins), lifeOf(policy.Gone, begins-time.Hour)}, present, former))
+			l.members(heard(policy.ListChanges, 11, []policy.Entry{
+				lifeOf(policy.StateInService, begins), lifeOf(policy.StateGone, begins-time.Hour)}, present, former))
 		},
 		"a list of before, long after the new life": func(l *loop) {
-			l.members(heard(policy.ListDelta, 11, []policy.Entry{lifeOf(policy.Ready, begins)}, present))
+			l.members(heard(policy.ListChanges, 11, []policy.Entry{lifeOf(policy.StateInService, begins)}, present))
 			l.now += 2 * time.Minute
-			l.members(heard(policy.ListFull, 10, []policy.Entry{lifeOf(policy.Ready, begins-time.Hour)}, former))
+			l.members(heard(policy.ListWhole, 10, []policy.Entry{lifeOf(policy.StateInService, begins-time.Hour)}, former))
 		},
 		"another address that lags and answers long after the reload": func(l *loop) {
-			l.members(heard(policy.ListDelta, 11, []policy.Entry{lifeOf(policy.Ready, begins)}, present))
-			l.members(heard(policy.ListMoved, 0, nil))
+			l.members(heard(policy.ListChanges, 11, []policy.Entry{lifeOf(policy.StateInService, begins)}, present))
+			l.members(heard(policy.ListAddressChanged, 0, nil))
 			l.now += 2 * time.Minute
-			news := heard(policy.ListFull, 10, []policy.Entry{lifeOf(policy.Ready, begins-time.Hour)}, former)
+			news := heard(policy.ListWhole, 10, []policy.Entry{lifeOf(policy.StateInService, begins-time.Hour)}, former)
 			news.origin.Source = 2
 			l.members(news)
 		},
@@ -89,7 +89,7 @@
 		t.Run(name, func(t *testing.T) {
 			l := testLoop(t)
 			l.tick()
-			l.members(heard(policy.ListFull, 10, []policy.Entry{lifeOf(policy.Ready, begins-time.Hour)}, former))
+			l.members(heard(policy.ListWhole, 10, []policy.Entry{lifeOf(policy.StateInService, begins-time.Hour)}, former))
 			play(l)
 			if _, listed := l.servers[1]; !listed {
 				t.Fatal("the server has no address, and the module may go on sending to it")
@@ -228,15 +228,15 @@
 		line policy.Entry
 		addr string
 	}{
-		"started anew at another address":   {lifeOf(policy.Ready, clockOrigin), "127.0.0.1:2"},
-		"named at another address":          {lifeOf(policy.Ready, 0), "127.0.0.1:2"},
-		"drains, for comparison":            {lifeOf(policy.Draining, 0), "127.0.0.1:1"},
-		"started anew at the same address ": {lifeOf(policy.Draining, clockOrigin), "127.0.0.1:1"},
+		"started anew at another address":   {lifeOf(policy.StateInService, clockOrigin), "127.0.0.1:2"},
+		"named at another address":          {lifeOf(policy.StateInService, 0), "127.0.0.1:2"},
+		"drains, for comparison":            {lifeOf(policy.StateDraining, 0), "127.0.0.1:1"},
+		"started anew at the same address ": {lifeOf(policy.StateDraining, clockOrigin), "127.0.0.1:1"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := testLoop(t)
 			l.tick()
-			l.members(heard(policy.ListFull, 10, []policy.Entry{lifeOf(policy.Ready, 0)}, "127.0.0.1:1"))
+			l.members(heard(policy.ListWhole, 10, []policy.Entry{lifeOf(policy.StateInService, 0)}, "127.0.0.1:1"))
 			wait := make(chan struct{})
 			defer close(wait)
 			l.upstream.dialer = func(context.Context, string) (net.Conn, error) { <-wait; return nil, errors.New("late") }
@@ -244,7 +244,7 @@
 			if len(r.attempts) != 1 {
 				t.Fatalf("%d attempts", len(r.attempts))
 			}
-			l.step(func() { l.members(heard(policy.ListDelta, 11, []policy.Entry{entries.line}, entries.addr)) })
+			l.step(func() { l.members(heard(policy.ListChanges, 11, []policy.Entry{entries.line}, entries.addr)) })
 			if r.attempts[0].begin() {
 				t.Error("the attempt begins at the server that it was meant for")
 			}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -259,19 +259,19 @@
 // members takes a list of servers or changes to it.
 func (l *loop) members(news listNews) {
 	switch news.kind {
-	case policy.ListFull, policy.ListCached:
+	case policy.ListWhole, policy.ListCached:
 		l.replaceServers(news)
-	case policy.ListDelta:
+	case policy.ListChanges:
 		l.changeServers(news)
 	}
-	l.balancer.MembersFrom(l.now, news.origin, news.kind, news.entries)
+	l.balancer.ListUpdatedFrom(l.now, news.origin, news.kind, news.entries)
 }
 
 // replaceServers takes a whole list.
 func (l *loop) replaceServers(news listNews) {
 	old := l.servers
 	l.servers = make(map[policy.ServerID]backend, len(news.entries))
-	counts := l.balancer.Counted(l.now, news.origin, news.entries)
+	counts := l.balancer.AcceptedEntries(l.now, news.origin, news.entries)
 	for i, e := range news.entries {
 		if counts[i] {
 			l.setServer(e, news.endpoints[i])
@@ -300,7 +300,7 @@
 // many, and changes often come one by one.
 func (l *loop) changeServers(news listNews) {
 	var dropped []backend
-	counts := l.balancer.Counted(l.now, news.origin, news.entries)
+	counts := l.balancer.AcceptedEntries(l.now, news.origin, news.entries)
 	for i, e := range news.entries {
 		if !counts[i] {
 			continue
@@ -315,10 +315,10 @@
 }
 
 func (l *loop) setServer(e policy.Entry, endpoint string) {
-	if e.State == policy.Gone {
+	if e.State == policy.StateGone {
 		delete(l.servers, e.Server)
 	} else {
-		l.servers[e.Server] = backend{e.Server, endpoint, e.Started}
+		l.servers[e.Server] = backend{e.Server, endpoint, e.StartedAt}
 	}
 }
 
@@ -600,12 +600,12 @@
 }
 
 // Ready implements policy.Host.
-func (l *loop) Ready() { l.ready() }
+func (l *loop) MarkReady() { l.ready() }
 
 // CallList implements policy.Host.
-func (l *loop) CallList(call policy.Call) { l.calls.add(callOrder{call: call}) }
+func (l *loop) StartCall(call policy.Call) { l.calls.add(callOrder{call: call}) }
 
 // EndCall implements policy.Host.
-func (l *loop) EndCall(id policy.CallID) {
+func (l *loop) CancelCall(id policy.CallID) {
 	l.calls.add(callOrder{call: policy.Call{ID: id}, ends: true})
 }
--- a/internal/node/members_test.go
+++ b/internal/node/members_test.go
@@ -44,7 +44,7 @@
 	changed := list.entries[len(list.entries)/2]
 	news := listNews{entries: []policy.Entry{changed}, endpoints: []string{list.endpoints[len(list.endpoints)/2]}}
 	for range times {
-		news.entries[0].Started++
+		news.entries[0].StartedAt++
 		l.changeServers(news)
 	}
 }
@@ -73,7 +73,7 @@
 // server that is gone, has moved or has started anew are closed, and no others.
 func TestConnectionsEndWithTheirServerAlone(t *testing.T) {
 	ready := func(id policy.ServerID, started time.Duration) policy.Entry {
-		return policy.Entry{Server: id, State: policy.Ready, Started: started}
+		return policy.Entry{Server: id, State: policy.StateInService, StartedAt: started}
 	}
 	for name, c := range map[string]struct {
 		entries   []policy.Entry
@@ -81,16 +81,16 @@
 		kept      bool
 	}{
 		"the same again":        {[]policy.Entry{ready(1, 5), ready(2, 0)}, []string{"a", "b"}, true},
-		"it drains":             {[]policy.Entry{{Server: 1, Started: 5, State: policy.Draining}, ready(2, 0)}, []string{"a", "b"}, true},
-		"gone":                  {[]policy.Entry{{Server: 1, Started: 5}, ready(2, 0)}, []string{"a", "b"}, false},
+		"it drains":             {[]policy.Entry{{Server: 1, StartedAt: 5, State: policy.StateDraining}, ready(2, 0)}, []string{"a", "b"}, true},
+		"gone":                  {[]policy.Entry{{Server: 1, StartedAt: 5}, ready(2, 0)}, []string{"a", "b"}, false},
 		"started anew":          {[]policy.Entry{ready(1, 6), ready(2, 0)}, []string{"a", "b"}, false},
 		"moved":                 {[]policy.Entry{ready(1, 5), ready(2, 0)}, []string{"c", "b"}, false},
-		"gone and back at once": {[]policy.Entry{{Server: 1, Started: 5}, ready(1, 5), ready(2, 0)}, []string{"a", "a", "b"}, true},
-		"another one in place":  {[]policy.Entry{{Server: 1, Started: 5}, ready(3, 0), ready(2, 0)}, []string{"a", "a", "b"}, false},
+		"gone and back at once": {[]policy.Entry{{Server: 1, StartedAt: 5}, ready(1, 5), ready(2, 0)}, []string{"a", "a", "b"}, true},
+		"another one in place":  {[]policy.Entry{{Server: 1, StartedAt: 5}, ready(3, 0), ready(2, 0)}, []string{"a", "a", "b"}, false},
 	} {
-		for _, kind := range []policy.ListKind{policy.ListDelta, policy.ListFull, policy.ListCached} {
+		for _, kind := range []policy.ListKind{policy.ListChanges, policy.ListWhole, policy.ListCached} {
 			l := testLoop(t)
-			l.hear(policy.ListFull, []policy.Entry{ready(1, 5), ready(2, 0)}, []string{"a", "b"})
+			l.hear(policy.ListWhole, []policy.Entry{ready(1, 5), ready(2, 0)}, []string{"a", "b"})
 			one, two := idleTo(t, l.upstream, backend{1, "a", 5}), idleTo(t, l.upstream, backend{2, "b", 0})
 			l.hear(kind, c.entries, c.endpoints)
 			if one.quiet() != c.kept || !two.quiet() {
@@ -102,9 +102,9 @@
 		}
 	}
 	l := testLoop(t)
-	l.hear(policy.ListFull, []policy.Entry{ready(1, 5)}, []string{"a"})
+	l.hear(policy.ListWhole, []policy.Entry{ready(1, 5)}, []string{"a"})
 	one := idleTo(t, l.upstream, backend{1, "a", 5})
-	l.hear(policy.ListFull, nil, nil)
+	l.hear(policy.ListWhole, nil, nil)
 	if one.quiet() {
 		t.Error("a whole list that does not name a server leaves its connection open")
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -81,7 +81,7 @@
 	defer listener.Close()
 	c := newClock()
 	set := cfg.Site.Settings
-	set.ConfirmList, set.LongPoll = true, true
+	set.ConfirmCachedList, set.LongPolling = true, true
 	// A request in work takes a descriptor at each side and a second copy one more at
 	// the servers'; clients also have idle connections, and some that say nothing.
 	servers := (cfg.Sockets - otherSockets) * 9 / 20
@@ -110,7 +110,7 @@
 	go l.run(background)
 	go func() {
 		long := len(known.Targets) > longList
-		disco.start(known, set.ListAsked)
+		disco.start(known, set.ListOnRequest)
 		known = hostList{}
 		if long {
 			debug.FreeOSMemory()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -640,7 +640,7 @@
 	go l.run(t.Context())
 	done, m := make(chan answer, 1), get()
 	l.post(func() {
-		l.hear(policy.ListFull, []policy.Entry{{Server: 1, State: policy.Ready}}, []string{s.addr})
+		l.hear(policy.ListWhole, []policy.Entry{{Server: 1, State: policy.StateInService}}, []string{s.addr})
 		l.endBy = l.now + 100*time.Millisecond
 		m.deadline = l.now + time.Hour
 		l.submit(policy.Request{}, m, done)
@@ -682,7 +682,7 @@
 	}
 	go l.run(t.Context())
 	l.post(func() {
-		l.hear(policy.ListFull, []policy.Entry{{Server: 1, State: policy.Ready}}, []string{s.addr})
+		l.hear(policy.ListWhole, []policy.Entry{{Server: 1, State: policy.StateInService}}, []string{s.addr})
 	})
 	front := httptest.NewServer(newFront(l, site, newClients(leastSockets), 1<<20, func() bool { return true }))
 	t.Cleanup(func() { front.CloseClientConnections(); front.Close() })
@@ -727,7 +727,7 @@
 	done = make(chan answer, 1)
 	sent := make(chan *request)
 	l.post(func() {
-		l.hear(policy.ListFull, []policy.Entry{{Server: 1, State: policy.Ready}}, []string{addr})
+		l.hear(policy.ListWhole, []policy.Entry{{Server: 1, State: policy.StateInService}}, []string{addr})
 		m := push()
 		m.deadline = l.now + time.Hour
 		sent <- l.submit(policy.Request{Class: class}, m, done)
@@ -741,7 +741,7 @@
 	l, _, machine, done := lateConnect(t, 2, func(set *policy.Settings) { set.Limits.Cancel = false })
 	other := newServer(t, says(ok("2"), true))
 	l.post(func() {
-		l.hear(policy.ListDelta, []policy.Entry{{Server: 1, State: policy.Draining}, {Server: 2, State: policy.Ready}},
+		l.hear(policy.ListChanges, []policy.Entry{{Server: 1, State: policy.StateDraining}, {Server: 2, State: policy.StateInService}},
 			[]string{"", other.addr})
 	})
 	drains := machine(ok("1")) // now its connections come up
@@ -808,11 +808,11 @@
 				for range 10 { // each is refused and saves up a tenth of a second copy
 					l.balancer.Request(l.now, policy.Request{ID: 1 << 31})
 				}
-				l.hear(policy.ListFull, []policy.Entry{{Server: 1, State: policy.Ready}}, []string{one})
+				l.hear(policy.ListWhole, []policy.Entry{{Server: 1, State: policy.StateInService}}, []string{one})
 				m := push()
 				m.body, m.deadline = make([]byte, 16<<20), l.now+time.Hour // more than buffers hold
 				sent <- l.submit(policy.Request{Hint: time.Second}, m, done)
-				l.hear(policy.ListDelta, []policy.Entry{{Server: 2, State: policy.Ready}}, []string{two})
+				l.hear(policy.ListChanges, []policy.Entry{{Server: 2, State: policy.StateInService}}, []string{two})
 			})
 			r := <-sent
 			look := func(is func() bool) bool { // in the loop, which owns the request
@@ -972,8 +972,8 @@
 }
 
 func TestUnknownStateGetsNoNewWork(t *testing.T) {
-	for word, want := range map[string]policy.State{
-		"in_service": policy.Ready, "terminating": policy.Draining, "terminated": policy.Gone, "resting": policy.Draining,
+	for word, want := range map[string]policy.ServerState{
+		"in_service": policy.StateInService, "terminating": policy.StateDraining, "terminated": policy.StateGone, "resting": policy.StateDraining,
 	} {
 		if got := state(word); got != want {
 			t.Errorf("%s: state %d, want %d", word, got, want)
--- a/internal/node/outdated_answer_test.go
+++ b/internal/node/outdated_answer_test.go
@@ -21,7 +21,7 @@
 		d := newDiscovery("127.0.0.1:1", siteOf(t, settings), newClock(), slog.New(slog.DiscardHandler))
 		var leaving []policy.Entry
 		d.members = func(news listNews) {
-			if news.kind == policy.ListLeaving || news.kind == policy.ListOutdated {
+			if news.kind == policy.ListPartial || news.kind == policy.ListOutdated {
 				leaving = append(leaving, news.entries...)
 			}
 		}
@@ -33,7 +33,7 @@
 		list := serverList{rev: anew, all: true}
 		list.add(target{UID: "s1", Endpoint: "127.0.0.1:2", State: "terminating"}, nil, d.clock)
 		d.replied(callReply{call: call, list: list})
-		if len(leaving) != 1 || leaving[0].State != policy.Draining {
+		if len(leaving) != 1 || leaving[0].State != policy.StateDraining {
 			t.Errorf("%s: told of %v, want one server that drains", name, leaving)
 		}
 	}
--- a/internal/node/spoilt_test.go
+++ b/internal/node/spoilt_test.go
@@ -156,9 +156,9 @@
 		placed, done := make(chan struct{}), make(chan answer, 1)
 		id := serverID(fmt.Sprint("s", i))
 		l.post(func() {
-			l.hear(policy.ListDelta, []policy.Entry{{Server: id, State: policy.Ready}}, []string{s.addr})
+			l.hear(policy.ListChanges, []policy.Entry{{Server: id, State: policy.StateInService}}, []string{s.addr})
 			if i > 0 {
-				l.hear(policy.ListDelta, []policy.Entry{{Server: serverID(fmt.Sprint("s", i-1))}}, []string{s.addr})
+				l.hear(policy.ListChanges, []policy.Entry{{Server: serverID(fmt.Sprint("s", i-1))}}, []string{s.addr})
 			}
 			close(placed)
 		})
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -148,7 +148,7 @@
 	s.Rules.MustAsk = j.Contract.MustAskInMs.or(s.Rules.MustAsk)
 	s.Rules.DrainGrace = j.Contract.DrainGraceMs.or(s.Rules.DrainGrace)
 	var ok bool
-	if s.ListAsked, ok = word(j.RegistryMode, map[string]bool{"": false, "pushed": false, "on_request": true}); !ok {
+	if s.ListOnRequest, ok = word(j.RegistryMode, map[string]bool{"": false, "pushed": false, "on_request": true}); !ok {
 		return s, fmt.Errorf("settings: RegistryMode: unknown word %q", j.RegistryMode)
 	}
 	for i, c := range j.Classes {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -224,7 +224,7 @@
 func decodeEntries(e *Event, raw []byte, fail func(string, any) error) error {
 	e.Entries = e.Entries[:0]
 	for ; len(raw) > 0; raw = raw[entrySize:] {
-		if raw[12] > uint8(policy.Draining) {
+		if raw[12] > uint8(policy.StateDraining) {
 			return fail("server state", raw[12])
 		}
 		weight := float64(math.Float32frombits(binary.BigEndian.Uint32(raw[13:])))
@@ -234,7 +234,7 @@
 		}
 		e.Entries = append(e.Entries, policy.Entry{
 			Server: serverID(raw), Zone: int(binary.BigEndian.Uint16(raw[6:])),
-			Cell: int(binary.BigEndian.Uint16(raw[10:])), State: policy.State(raw[12]), Weight: weight, Started: started,
+			Cell: int(binary.BigEndian.Uint16(raw[10:])), State: policy.ServerState(raw[12]), Weight: weight, StartedAt: started,
 		})
 	}
 	return nil
@@ -349,13 +349,13 @@
 }
 
 // Ready implements policy.Host. The simulator's instances serve from their start.
-func (r *Reply) Ready() {}
+func (r *Reply) MarkReady() {}
 
 // CallList implements policy.Host.
-func (r *Reply) CallList(policy.Call) { r.record(actWatch)[1] = 1 }
+func (r *Reply) StartCall(policy.Call) { r.record(actWatch)[1] = 1 }
 
 // EndCall implements policy.Host. A subscription is not ended.
-func (r *Reply) EndCall(policy.CallID) {}
+func (r *Reply) CancelCall(policy.CallID) {}
 
 // Fatal says that the decision code has failed.
 func (r *Reply) Fatal(text string) {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -87,8 +87,8 @@
 	const server = policy.ServerID(0x0a124a071f93)
 	list := events[3]
 	want := []policy.Entry{
-		{Server: server, Zone: 1, Cell: 2, State: policy.Ready, Weight: 1},
-		{Server: 0x0a9011f21fbc, State: policy.Draining, Weight: 1.5, Started: 6100 * time.Millisecond},
+		{Server: server, Zone: 1, Cell: 2, State: policy.StateInService, Weight: 1},
+		{Server: 0x0a9011f21fbc, State: policy.StateDraining, Weight: 1.5, StartedAt: 6100 * time.Millisecond},
 	}
 	if list.Kind != policy.ListCached || len(list.Entries) != 2 || list.Entries[0] != want[0] ||
 		list.Entries[1] != want[1] {
@@ -116,7 +116,7 @@
 	r.For(5)
 	r.Refuse(0x0e6f2b19, 250*time.Millisecond, policy.Overload)
 	r.Fail(7, policy.NoRetry)
-	r.CallList(policy.Call{})
+	r.StartCall(policy.Call{})
 	r.Fatal("broken")
 	var out bytes.Buffer
 	if err := r.WriteTo(bufio.NewWriter(&out), 12); err != nil {
@@ -215,7 +215,7 @@
 		t.Fatal(err)
 	}
 	c := s.Classes[0]
-	if s.Nodes != 2 || s.Node != 1 || s.Zone != 1 || !s.WorthByWork || !s.ListAsked || !s.WarmKeys ||
+	if s.Nodes != 2 || s.Node != 1 || s.Zone != 1 || !s.WorthByWork || !s.ListOnRequest || !s.WarmKeys ||
 		s.OverShareWorth != 0.05 ||
 		s.Tenants[0].QuotaPerS != 84 || c.Effect != policy.Keyed || c.Scope != policy.ScopeZone ||
 		c.Window != 5*time.Second || c.Aim != 580*time.Millisecond || c.LateWorth != 0.5 || !c.Stream ||
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -14,7 +14,7 @@
 
 // thin tells that nodes outnumber servers: a fair bound in flight would be below one
 // request a server here, too coarse to steer by, and one stuck attempt would use it up.
-func (b *Balancer) thin() bool { return b.set.Nodes > b.directory.ready }
+func (b *Balancer) thin() bool { return b.set.Nodes > b.serverList.inServiceCount }
 
 // admit is the load shedding of a thin node: it steers the share of its requests that go out so that answers
 // take about half of their aim, and refuses the rest at once. What lies beyond a tenant's share goes first.
--- a/policy/api.go
+++ b/policy/api.go
@@ -80,40 +80,40 @@
 
 // Settings is what an instance is told at its start.
 type Settings struct {
-	Nodes          int // nodes of this tier, this one included
-	Node           int // the number of this one, from 0, the same after a restart; below 0: not known
-	Zone           int // where this node stands
-	Classes        []Class
-	Tenants        []Tenant
-	OverShareWorth float64 // worth of a request beyond its tenant's share, as a share of its class's
-	WorthByWork    bool    // worth counts for each unit of work instead of for each request
-	WarmKeys       bool    // a server that met a key lately does less work for it
-	ListAsked      bool    // the server list comes only to those who watch it; else it is pushed
-	LongPoll       bool    // calls for the list end after a while and are made anew, see Call; else there is a subscription
-	ConfirmList    bool    // a list that was kept from before the start serves once it is confirmed; see Host.Ready
-	Limits         Limits
-	Rules          Rules
-	Prices         Prices
+	Nodes             int // nodes of this tier, this one included
+	Node              int // the number of this one, from 0, the same after a restart; below 0: not known
+	Zone              int // where this node stands
+	Classes           []Class
+	Tenants           []Tenant
+	OverShareWorth    float64 // worth of a request beyond its tenant's share, as a share of its class's
+	WorthByWork       bool    // worth counts for each unit of work instead of for each request
+	WarmKeys          bool    // a server that met a key lately does less work for it
+	ListOnRequest     bool    // the server list comes only to those who watch it; else it is pushed
+	LongPolling       bool    // calls for the list end after a while and are made anew, see Call; else there is a subscription
+	ConfirmCachedList bool    // a list that was kept from before the start serves once it is confirmed; see Host.Ready
+	Limits            Limits
+	Rules             Rules
+	Prices            Prices
 }
 
 // State is what the list says of a server.
-type State uint8
+type ServerState uint8
 
 // The states of a listed server.
 const (
-	Gone State = iota
-	Ready
-	Draining
+	StateGone ServerState = iota
+	StateInService
+	StateDraining
 )
 
 // Entry is a line of the server list.
 type Entry struct {
-	Server  ServerID
-	Zone    int
-	Cell    int
-	State   State
-	Weight  float64       // rough size, comparable across servers; 0: unknown
-	Started time.Duration // time of its latest start, as far as clocks agree; 0: long past
+	Server    ServerID
+	Zone      int
+	Cell      int
+	State     ServerState
+	Weight    float64       // rough size, comparable across servers; 0: unknown
+	StartedAt time.Duration // time of its latest start, as far as clocks agree; 0: long past
 }
 
 // ListKind tells how to read a Members event.
@@ -121,14 +121,14 @@
 
 // The kinds of a list event.
 const (
-	ListDelta    ListKind = iota // changed entries only
-	ListFull                     // all servers
-	ListCached                   // all servers as known some time ago
-	ListFailed                   // a call failed or the watch broke; the old list stays
-	ListSilent                   // a subscription has fallen silent; the old list stays
-	ListMoved                    // discovery has another address from now on; the old list stays until that one answers
-	ListLeaving                  // lines of an answer that is not whole, or can't be taken: only what they take out of service counts
-	ListOutdated                 // all servers as of an earlier version than before: the same, and what it does not name is out
+	ListChanges        ListKind = iota // changed entries only
+	ListWhole                          // all servers
+	ListCached                         // all servers as known some time ago
+	ListFailed                         // a call failed or the watch broke; the old list stays
+	ListSilent                         // a subscription has fallen silent; the old list stays
+	ListAddressChanged                 // discovery has another address from now on; the old list stays until that one answers
+	ListPartial                        // lines of an answer that is not whole, or can't be taken: only what they take out of service counts
+	ListOutdated                       // all servers as of an earlier version than before: the same, and what it does not name is out
 )
 
 // CallID names a call to discovery. The module chooses it.
@@ -139,15 +139,15 @@
 
 // The reasons of a call.
 const (
-	CallStart CallReason = iota // the node has started
-	CallNext                    // the last call was answered
-	CallMoved                   // discovery has another address
-	CallRetry                   // the last call failed, or the watch broke
-	CallLate                    // the last call is late
+	CallReasonStart          CallReason = iota // the node has started
+	CallReasonNext                             // the last call was answered
+	CallReasonAddressChanged                   // discovery has another address
+	CallReasonRetry                            // the last call failed, or the watch broke
+	CallReasonLate                             // the last call is late
 )
 
 var callReasonNames = [...]string{
-	CallStart: "start", CallNext: "next", CallMoved: "reload", CallRetry: "retry", CallLate: "late",
+	CallReasonStart: "start", CallReasonNext: "next", CallReasonAddressChanged: "reload", CallReasonRetry: "retry", CallReasonLate: "late",
 }
 
 // String names a reason, for logs.
@@ -156,10 +156,10 @@
 // Call is a call to discovery for the list: for what is newer than the version that the node has, or for
 // the whole list where it has none.
 type Call struct {
-	ID     CallID
-	Reason CallReason
-	Wait   time.Duration // discovery is asked to wait so long for changes; 0: to answer at once
-	Due    time.Duration // what the node has not heard counts as told from then on; 0: it has had no answer
+	ID             CallID
+	Reason         CallReason
+	WaitForChanges time.Duration // discovery is asked to wait so long for changes; 0: to answer at once
+	ListDeadline   time.Duration // what the node has not heard counts as told from then on; 0: it has had no answer
 }
 
 // CallResult tells how a call ended.
@@ -175,10 +175,10 @@
 
 // CallEnd is the end of a call.
 type CallEnd struct {
-	ID      CallID
-	Result  CallResult
-	Changed bool  // it was answered, and not only with the end of its time
-	Bytes   int64 // of an answer that can't be taken
+	ID            CallID
+	Result        CallResult
+	Changed       bool  // it was answered, and not only with the end of its time
+	UnusableBytes int64 // of an answer that can't be taken
 }
 
 // Request is a client's request as it comes in.
@@ -266,10 +266,10 @@
 	SetTimer(at time.Duration, token uint64)
 	// Ready tells, once, that clients may come: with ConfirmList once discovery has confirmed the list or
 	// too long a time has passed without, else with the first list.
-	Ready()
+	MarkReady()
 	// CallList calls discovery for the list: with LongPoll by a call that ends with Balancer.CallEnded,
 	// beside those that are out; else by a subscription, whose end is a Members event.
-	CallList(call Call)
+	StartCall(call Call)
 	// EndCall gives up a call that is out; no word of it is wanted any more.
-	EndCall(id CallID)
+	CancelCall(id CallID)
 }
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -10,7 +10,7 @@
 const sweepEvery = 10 * time.Millisecond
 
 // The tokens of the timers.
-const tokenSweep, tokenWatch, tokenReady, tokenServe, tokenDue = 0, 1, 2, 3, 4
+const tokenSweep, tokenCall, tokenReady, tokenServeUnconfirmed, tokenListDeadline = 0, 1, 2, 3, 4
 
 // Balancer decides for one node. Create it with New.
 type Balancer struct {
@@ -25,51 +25,51 @@
 	boundToZone bool // there are classes whose repeats are bound to a zone,
 	boundToCell bool // or to a cell
 
-	directory directory
-	servers   map[ServerID]*server // those that this node has to do with
-	subset    []*server            // those that it works with, all of them ready
-	base      int                  // nodes that work with each server if all are like this one,
-	feeders   int                  // and with those of the subset if it was widened
-	wanted    float64              // servers that the load wants it to have
-	sends     int                  // attempts since countedAt
-	countedAt time.Duration
-	weight    float64 // mean of the subset
-	usable    int     // closed or awaiting a trial, as of the last refresh
-	choices   []*server
-	keys      map[uint64]*server // who served a key last
+	serverList serverList
+	servers    map[ServerID]*server // those that this node has to do with
+	subset     []*server            // those that it works with, all of them ready
+	base       int                  // nodes that work with each server if all are like this one,
+	feeders    int                  // and with those of the subset if it was widened
+	wanted     float64              // servers that the load wants it to have
+	sends      int                  // attempts since countedAt
+	countedAt  time.Duration
+	weight     float64 // mean of the subset
+	usable     int     // closed or awaiting a trial, as of the last refresh
+	choices    []*server
+	keys       map[uint64]*server // who served a key last
 
 	requests map[RequestID]*request
 	open     []*request // those that are not done
 	held     []*request // those that wait for room, the most worth first
 
-	refreshed   time.Duration
-	meanSuccess float64
-	meanLatency float64     // multiple of a lone request's
-	demand      stats.Meter // work asked for
-	warm        int         // warm servers whose breaker is closed, as of the last refresh
-	warmRate    float64     // work a second sent to them
-	out         int         // own attempts in flight
-	limit       float64     // bound on them for each ready server; may be below one
-	loneSeen    int
-	crowded     bool
-	limitKnown  float64 // the highest lately without a crowd
-	typical     float64 // mean latency of late, seconds
-	steered     time.Duration
-	crowding    float64 // mean latency over a lone request's at the same server, as a logarithm
-	pressure    float64 // mean latency as a share of the aim
-	pressedAt   time.Duration
-	admitted    float64 // share of the requests that go out
-	overPart    float64 // share of the requests that lie beyond their tenant's share
-	copyTokens  float64
-	sweeping    bool
-	calls       calls
-	readied     bool // the host was told Ready
-	serving     bool // requests are served
+	refreshed     time.Duration
+	meanSuccess   float64
+	meanLatency   float64     // multiple of a lone request's
+	demand        stats.Meter // work asked for
+	warm          int         // warm servers whose breaker is closed, as of the last refresh
+	warmRate      float64     // work a second sent to them
+	out           int         // own attempts in flight
+	limit         float64     // bound on them for each ready server; may be below one
+	loneSeen      int
+	crowded       bool
+	limitKnown    float64 // the highest lately without a crowd
+	typical       float64 // mean latency of late, seconds
+	steered       time.Duration
+	crowding      float64 // mean latency over a lone request's at the same server, as a logarithm
+	pressure      float64 // mean latency as a share of the aim
+	pressedAt     time.Duration
+	admitted      float64 // share of the requests that go out
+	overPart      float64 // share of the requests that lie beyond their tenant's share
+	copyTokens    float64
+	sweeping      bool
+	calls         callState
+	readyReported bool // the host was told Ready
+	serving       bool // requests are served
 
-	origin      Origin        // of the latest whole answer
-	followed    int64         // its version, for what spans the next changes
-	sourceSince time.Duration // when its source was first heard, or its versions last went back
-	tombstones  tombstones
+	listOrigin          Origin        // of the latest whole answer
+	changesBase         int64         // its version, for what spans the next changes
+	sourceFollowedSince time.Duration // when its source was first heard, or its versions last went back
+	tombstones          tombstones
 }
 
 // Timer takes a timer set before; one that nobody needs any more does no harm.
@@ -78,14 +78,14 @@
 	case tokenSweep:
 		b.sweeping = false
 		b.sweep(now)
-	case tokenWatch:
-		b.call(now)
+	case tokenCall:
+		b.callIfDue(now)
 	case tokenReady:
-		b.ready()
-	case tokenServe:
-		b.serve()
-	case tokenDue:
-		b.checkDue(now)
+		b.reportReady()
+	case tokenServeUnconfirmed:
+		b.startServing()
+	case tokenListDeadline:
+		b.checkListDeadline(now)
 	}
 }
 
--- a/policy/clock_test.go
+++ b/policy/clock_test.go
@@ -13,20 +13,20 @@
 		"no step": 0, "a second ahead": time.Second, "an hour ahead": time.Hour, "an hour back": -time.Hour,
 	} {
 		t.Run(name, func(t *testing.T) {
-			set := testSettings()
-			set.Rules.ColdFor = 24 * time.Second
-			r := newRig(t, set, 2)
+			settings := testSettings()
+			settings.Rules.ColdFor = 24 * time.Second
+			r := newRig(t, settings, 2)
 			r.now = 2 * time.Hour
-			r.list(ListFull, ready(1, 2)...)
+			r.list(ListWhole, ready(1, 2)...)
 			r.pass(time.Second)
 			started := r.now - 500*ms
-			r.list(ListDelta, Entry{Server: 1, State: Ready, Started: started + step, Weight: 1})
+			r.list(ListChanges, Entry{Server: 1, State: StateInService, StartedAt: started + step, Weight: 1})
 			s := r.b.servers[1]
 			share := func() float64 { return r.b.coldShare(s.upSince, r.now) }
 			if share() > 0.6 {
 				t.Errorf("a server that has just started counts as %.2f warm", share())
 			}
-			if r.pass(set.Rules.ColdFor); share() < 1 {
+			if r.pass(settings.Rules.ColdFor); share() < 1 {
 				t.Errorf("a server counts as %.2f warm after the time in which it is at most", share())
 			}
 			for range failuresToOpen {
@@ -42,20 +42,20 @@
 
 // A list that names the same process again does not date it anew.
 func TestProcessIsDatedOnce(t *testing.T) {
-	set := testSettings()
-	r := newRig(t, set, 2)
-	r.list(ListFull, ready(1, 2)...)
-	again := Entry{Server: 1, State: Ready, Started: r.now + time.Hour, Weight: 1}
-	r.list(ListDelta, again)
+	settings := testSettings()
+	r := newRig(t, settings, 2)
+	r.list(ListWhole, ready(1, 2)...)
+	again := Entry{Server: 1, State: StateInService, StartedAt: r.now + time.Hour, Weight: 1}
+	r.list(ListChanges, again)
 	first := r.b.servers[1].upSince
 	r.pass(5 * time.Second)
-	r.list(ListDelta, again)
-	r.list(ListFull, again, ready(2, 2)[0])
+	r.list(ListChanges, again)
+	r.list(ListWhole, again, ready(2, 2)[0])
 	if got := r.b.servers[1].upSince; got != first {
 		t.Errorf("dated %v, and %v later %v", first, r.now-first, got)
 	}
-	again.Started += time.Second
-	r.list(ListDelta, again)
+	again.StartedAt += time.Second
+	r.list(ListChanges, again)
 	if got := r.b.servers[1].upSince; got != r.now {
 		t.Errorf("a further start is dated %v, want %v", got, r.now)
 	}
@@ -64,14 +64,14 @@
 // An outcome of an attempt that went to this process counts, whatever the wall clock of its start.
 func TestOutcomesCountAfterAStepOfTheWallClock(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
-	r.list(ListFull, Entry{Server: 1, State: Ready, Started: r.now + time.Hour, Weight: 1})
+	r.list(ListWhole, Entry{Server: 1, State: StateInService, StartedAt: r.now + time.Hour, Weight: 1})
 	s := r.b.servers[1]
 	for range failuresToOpen {
 		r.pass(time.Second)
 		r.next++
-		q := r.b.newRequest(Request{ID: r.next, Left: time.Second}, &r.b.classes[0])
-		q.end = r.now + time.Second
-		r.b.send(r.now, q, s)
+		req := r.b.newRequest(Request{ID: r.next, Left: time.Second}, &r.b.classes[0])
+		req.end = r.now + time.Second
+		r.b.send(r.now, req, s)
 		r.end(r.next, Error, 10*ms)
 	}
 	if s.breaker != open {
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -53,7 +53,7 @@
 	}
 	back := ready(1, cold)
 	for i := range back {
-		back[i].Started = start
+		back[i].StartedAt = start
 	}
 	got := make([][]time.Duration, cold+1)
 	for now := start - settle; now < start+plays; now += step {
@@ -61,7 +61,7 @@
 		for i, r := range fleet {
 			r.pass(now - r.now)
 			if now == start {
-				r.list(ListDelta, back...)
+				r.list(ListChanges, back...)
 			}
 			for len(pending[i]) > 0 && pending[i][0].at <= now {
 				r.end(pending[i][0].id, OK, took)
--- a/policy/discovery_faults_test.go
+++ b/policy/discovery_faults_test.go
@@ -11,228 +11,228 @@
 )
 
 // modelFault is what a model of discovery does with calls from an instant on.
-type modelFault struct {
-	name    string
-	before  time.Duration // a call reaches it so late,
-	after   time.Duration // and its answer the node
-	refuses float64       // share of calls that it refuses at once,
-	crowds  float64       // of those that it refuses after crowdsFor (0: 2 s),
-	dies    float64       // of those that it never answers,
-	spoils  float64       // and of those whose answer can't be taken
-	from    time.Duration // it strikes from then on, counted from the first answer,
-	to      time.Duration // and up to then; 0: to the end
-	quiet   time.Duration // nothing changes before
-
-	crowdsFor time.Duration
+type discoveryFault struct {
+	name            string
+	callDelay       time.Duration // a call reaches it so late,
+	answerDelay     time.Duration // and its answer the node
+	refuseShare     float64       // share of calls that it refuses at once,
+	lateRefuseShare float64       // of those that it refuses after crowdsFor (0: 2 s),
+	noAnswerShare   float64       // of those that it never answers,
+	unusableShare   float64       // and of those whose answer can't be taken
+	from            time.Duration // it strikes from then on, counted from the first answer,
+	to              time.Duration // and up to then; 0: to the end
+	noChangesBefore time.Duration // nothing changes before
+
+	lateRefuseAfter time.Duration
 }
 
 // modelChange is a change that discovery has.
-type modelChange struct{ at, told time.Duration }
+type modelChange struct{ madeAt, deadline time.Duration }
 
 // modelRun plays a node before a model of discovery.
-type modelRun struct {
+type discoveryRun struct {
 	*rig
-	fault   modelFault
-	pushed  bool
-	rng     *rand.Rand
-	start   time.Duration // the first answer
-	changes []modelChange
-	seen    int // calls of the host that were looked at
-	out     map[CallID]*modelCall
-	known   int // changes that the node knows
-	mostOut int
-	begun   []time.Duration // when each call came
-
-	turns    []modelFault  // strike calls in turn, in place of the fault,
-	struckAt time.Duration // from then on
+	fault         discoveryFault
+	pushed        bool
+	rng           *rand.Rand
+	firstAnswerAt time.Duration // the first answer
+	changes       []modelChange
+	callsSeen     int // calls of the host that were looked at
+	inFlight      map[CallID]*modelCall
+	knownChanges  int // changes that the node knows
+	mostInFlight  int
+	callTimes     []time.Duration // when each call came
+
+	faultCycle      []discoveryFault // strike calls in turn, in place of the fault,
+	faultCycleSince time.Duration    // from then on
 }
 
 // modelCall is a call under way in the model.
 type modelCall struct {
-	since   int
-	arrives time.Duration // at discovery
-	until   time.Duration // it waits for changes
-	lasts   time.Duration // what the answer takes to the node
-	result  CallResult
-	never   bool
-	ends    time.Duration // at the node; 0: it waits for changes still
-	brings  int           // the version
-	misses  bool          // it brings the version that it asked from
+	sinceVersion  int
+	arrivesAt     time.Duration // at discovery
+	waitsUntil    time.Duration // it waits for changes
+	answerTransit time.Duration // what the answer takes to the node
+	result        CallResult
+	neverAnswered bool
+	endsAt        time.Duration // at the node; 0: it waits for changes still
+	version       int           // the version
+	missesChanges bool          // it brings the version that it asked from
 }
 
-func newModelRun(t *testing.T, pushed bool, nodes int, seed uint64, fault modelFault) *modelRun {
+func newDiscoveryRun(t *testing.T, pushed bool, nodes int, seed uint64, fault discoveryFault) *discoveryRun {
 	t.Helper()
-	set := testSettings()
-	set.Nodes, set.ListAsked, set.LongPoll, set.ConfirmList = nodes, !pushed, true, true
-	set.Rules.DrainGrace = 300 * ms
+	settings := testSettings()
+	settings.Nodes, settings.ListOnRequest, settings.LongPolling, settings.ConfirmCachedList = nodes, !pushed, true, true
+	settings.Rules.DrainGrace = 300 * ms
 	h := newHost()
-	b, err := New(set, seed, h)
+	b, err := New(settings, seed, h)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &modelRun{
+	m := &discoveryRun{
 		rig: &rig{t: t, b: b, h: h, now: time.Hour}, fault: fault, pushed: pushed,
-		rng: rand.New(rand.NewPCG(seed, 9)), out: map[CallID]*modelCall{},
+		rng: rand.New(rand.NewPCG(seed, 9)), inFlight: map[CallID]*modelCall{},
 	}
 	m.list(ListCached, ready(1, 3)...)
 	return m
 }
 
 // strikes tells whether the fault is there at a time.
-func (m *modelRun) strikes(at time.Duration) bool {
-	since := at - m.start
-	return m.start > 0 && since >= m.fault.from && (m.fault.to == 0 || since < m.fault.to)
+func (m *discoveryRun) isFaultActive(at time.Duration) bool {
+	since := at - m.firstAnswerAt
+	return m.firstAnswerAt > 0 && since >= m.fault.from && (m.fault.to == 0 || since < m.fault.to)
 }
 
 // begin takes a call in.
-func (m *modelRun) begin(call Call) {
-	m.begun = append(m.begun, m.now)
-	c := &modelCall{since: m.known, arrives: m.now + 2*ms, lasts: 3 * ms}
-	f, inTurn := m.turn()
+func (m *discoveryRun) beginCall(call Call) {
+	m.callTimes = append(m.callTimes, m.now)
+	c := &modelCall{sinceVersion: m.knownChanges, arrivesAt: m.now + 2*ms, answerTransit: 3 * ms}
+	f, inTurn := m.faultOfCall()
 	if !inTurn {
 		f = m.fault
 	}
-	if inTurn || m.strikes(m.now) {
-		draw := m.rng.Float64()
-		c.arrives, c.lasts = c.arrives+f.before, c.lasts+f.after
+	if inTurn || m.isFaultActive(m.now) {
+		drawn := m.rng.Float64()
+		c.arrivesAt, c.answerTransit = c.arrivesAt+f.callDelay, c.answerTransit+f.answerDelay
 		switch {
-		case draw < f.refuses:
-			c.result, c.ends = CallRefused, m.now+5*ms
-		case draw < f.refuses+f.crowds:
-			c.result, c.ends = CallRefused, m.now+cmp.Or(f.crowdsFor, 2*time.Second)
-		case draw < f.refuses+f.crowds+f.dies:
-			c.never = true
-		case draw < f.refuses+f.crowds+f.dies+f.spoils:
+		case drawn < f.refuseShare:
+			c.result, c.endsAt = CallRefused, m.now+5*ms
+		case drawn < f.refuseShare+f.lateRefuseShare:
+			c.result, c.endsAt = CallRefused, m.now+cmp.Or(f.lateRefuseAfter, 2*time.Second)
+		case drawn < f.refuseShare+f.lateRefuseShare+f.noAnswerShare:
+			c.neverAnswered = true
+		case drawn < f.refuseShare+f.lateRefuseShare+f.noAnswerShare+f.unusableShare:
 			c.result = CallUnusable
 		}
 	}
-	c.until = c.arrives + max(call.Wait, ms)
-	m.out[call.ID] = c
-	m.mostOut = max(m.mostOut, len(m.out))
+	c.waitsUntil = c.arrivesAt + max(call.WaitForChanges, ms)
+	m.inFlight[call.ID] = c
+	m.mostInFlight = max(m.mostInFlight, len(m.inFlight))
 }
 
 // step lets some time pass and hands on what comes of calls.
-func (m *modelRun) step(d time.Duration) {
+func (m *discoveryRun) advanceStep(d time.Duration) {
 	m.pass(d)
 	for _, id := range m.h.ended {
-		delete(m.out, id)
+		delete(m.inFlight, id)
 	}
 	m.h.ended = m.h.ended[:0]
-	for ; m.seen < len(m.h.calls); m.seen++ {
-		m.begin(m.h.calls[m.seen])
+	for ; m.callsSeen < len(m.h.calls); m.callsSeen++ {
+		m.beginCall(m.h.calls[m.callsSeen])
 	}
-	for _, call := range slices.Sorted(maps.Keys(m.out)) { // in their order, so that a seed gives one run
-		c := m.out[call]
-		if c.never {
+	for _, call := range slices.Sorted(maps.Keys(m.inFlight)) { // in their order, so that a seed gives one run
+		c := m.inFlight[call]
+		if c.neverAnswered {
 			continue
 		}
-		news := len(m.changes) > c.since && !c.misses
-		if c.ends == 0 && m.now >= c.arrives && (news || m.now >= c.until) {
-			c.ends, c.brings = m.now+c.lasts, len(m.changes)
-			if c.misses {
-				c.brings = c.since
+		hasChanges := len(m.changes) > c.sinceVersion && !c.missesChanges
+		if c.endsAt == 0 && m.now >= c.arrivesAt && (hasChanges || m.now >= c.waitsUntil) {
+			c.endsAt, c.version = m.now+c.answerTransit, len(m.changes)
+			if c.missesChanges {
+				c.version = c.sinceVersion
 			}
 		}
-		if c.ends > 0 && m.now >= c.ends {
-			delete(m.out, call)
-			m.end(call, c)
+		if c.endsAt > 0 && m.now >= c.endsAt {
+			delete(m.inFlight, call)
+			m.endCall(call, c)
 		}
 	}
 }
 
-func (m *modelRun) end(id CallID, c *modelCall) {
-	changed := c.result == CallAnswered && c.brings > c.since
+func (m *discoveryRun) endCall(id CallID, c *modelCall) {
+	changed := c.result == CallAnswered && c.version > c.sinceVersion
 	if c.result == CallAnswered {
-		m.known = max(m.known, c.brings)
-		m.list(ListDelta)
-		if m.start == 0 {
-			m.start = m.now
+		m.knownChanges = max(m.knownChanges, c.version)
+		m.list(ListChanges)
+		if m.firstAnswerAt == 0 {
+			m.firstAnswerAt = m.now
 		}
 	}
-	m.b.CallEnded(m.now, CallEnd{ID: id, Result: c.result, Changed: changed, Bytes: 2000})
+	m.b.CallEnded(m.now, CallEnd{ID: id, Result: c.result, Changed: changed, UnusableBytes: 2000})
 }
 
 // change makes a change, and notes by when it counts as told.
-func (m *modelRun) change() {
-	told := m.now
+func (m *discoveryRun) makeChange() {
+	deadline := m.now
 	if !m.pushed {
-		told += toldAfter
+		deadline += maxListAge
 	}
-	if end := m.start + m.fault.to; m.strikes(m.now) && m.fault.to > 0 {
-		told += end - m.now
+	if end := m.firstAnswerAt + m.fault.to; m.isFaultActive(m.now) && m.fault.to > 0 {
+		deadline += end - m.now
 	}
-	m.changes = append(m.changes, modelChange{m.now, told})
+	m.changes = append(m.changes, modelChange{m.now, deadline})
 }
 
 // play has changes come at random for some time, and gives how late the latest one was known, counted
 // from when it counted as told, and how many were late.
-func (m *modelRun) play(length time.Duration) (latest time.Duration, late int) {
+func (m *discoveryRun) playRandomChanges(length time.Duration) (latest time.Duration, late int) {
 	const step = 5 * ms
-	for m.start == 0 {
-		m.step(step)
+	for m.firstAnswerAt == 0 {
+		m.advanceStep(step)
 	}
-	next, heard := m.start+m.fault.quiet+time.Duration(m.rng.Int64N(int64(4*time.Second))), 0
-	for m.now < m.start+length || heard < len(m.changes) {
-		if m.now >= next && m.now < m.start+length {
-			m.change()
+	next, checked := m.firstAnswerAt+m.fault.noChangesBefore+time.Duration(m.rng.Int64N(int64(4*time.Second))), 0
+	for m.now < m.firstAnswerAt+length || checked < len(m.changes) {
+		if m.now >= next && m.now < m.firstAnswerAt+length {
+			m.makeChange()
 			next += time.Second + time.Duration(m.rng.Int64N(int64(7*time.Second)))
 		}
-		m.step(step)
-		for ; heard < m.known; heard++ {
-			by := m.now - m.changes[heard].told
-			if latest = max(latest, by); by > modelGrace {
+		m.advanceStep(step)
+		for ; checked < m.knownChanges; checked++ {
+			lateness := m.now - m.changes[checked].deadline
+			if latest = max(latest, lateness); lateness > maxLateness {
 				late++
 			}
 		}
-		if m.now > m.start+length+2*time.Minute {
-			m.t.Fatalf("a change is not known %v after it counted as told", m.now-m.changes[heard].told)
+		if m.now > m.firstAnswerAt+length+2*time.Minute {
+			m.t.Fatalf("a change is not known %v after it counted as told", m.now-m.changes[checked].deadline)
 		}
 	}
 	return latest, late
 }
 
 // faultsBorne are faults of discovery that a node bears in time, asked in fleets of some size at most.
-var faultsBorne = []struct {
-	modelFault
+var toleratedFaults = []struct {
+	discoveryFault
 	nodes int // at most; 0: any
 }{
-	{modelFault{name: "none"}, 0},
-	{modelFault{name: "calls late by 1 s", before: time.Second}, 0},
-	{modelFault{name: "calls late by 2 s", before: 2 * time.Second}, 0},
-	{modelFault{name: "calls late by 3 s", before: 3 * time.Second}, 0},
-	{modelFault{name: "calls late by 4 s", before: 4 * time.Second}, 0},
-	{modelFault{name: "calls late by 5 s", before: 5 * time.Second}, 0},
-	{modelFault{name: "calls late by 6 s", before: 6 * time.Second}, 0},
-	{modelFault{name: "answers late by 1 s", after: time.Second}, 0},
-	{modelFault{name: "answers late by 2 s", after: 2 * time.Second}, 30},
-	{modelFault{name: "answers late by 3 s", after: 3 * time.Second}, 30},
-	{modelFault{name: "answers late by 4 s", after: 4 * time.Second, quiet: 12 * time.Second}, 30},
-	{modelFault{name: "answers late by 5 s", after: 5 * time.Second, quiet: 12 * time.Second}, 30},
-	{modelFault{name: "answers late by 4 s all at once", after: 4 * time.Second, from: 10 * time.Second, quiet: 10 * time.Second}, 8},
-	{modelFault{name: "answers late by 5 s all at once", after: 5 * time.Second, from: 10 * time.Second, quiet: 10 * time.Second}, 8},
-	{modelFault{name: "refuses for 2 s", refuses: 1, from: 5 * time.Second, to: 7 * time.Second}, 0},
-	{modelFault{name: "refuses for 75 s", refuses: 1, from: 5 * time.Second, to: 80 * time.Second}, 0},
-	{modelFault{name: "refuses after 2 s for 45 s", crowds: 1, from: 5 * time.Second, to: 50 * time.Second}, 0},
-	{modelFault{name: "refuses after 2 s for 75 s", crowds: 1, from: 5 * time.Second, to: 80 * time.Second}, 8},
-	{modelFault{name: "silent for 2 s", dies: 1, from: 5 * time.Second, to: 7 * time.Second}, 0},
-	{modelFault{name: "silent for 75 s", dies: 1, from: 5 * time.Second, to: 80 * time.Second}, 0},
+	{discoveryFault{name: "none"}, 0},
+	{discoveryFault{name: "calls late by 1 s", callDelay: time.Second}, 0},
+	{discoveryFault{name: "calls late by 2 s", callDelay: 2 * time.Second}, 0},
+	{discoveryFault{name: "calls late by 3 s", callDelay: 3 * time.Second}, 0},
+	{discoveryFault{name: "calls late by 4 s", callDelay: 4 * time.Second}, 0},
+	{discoveryFault{name: "calls late by 5 s", callDelay: 5 * time.Second}, 0},
+	{discoveryFault{name: "calls late by 6 s", callDelay: 6 * time.Second}, 0},
+	{discoveryFault{name: "answers late by 1 s", answerDelay: time.Second}, 0},
+	{discoveryFault{name: "answers late by 2 s", answerDelay: 2 * time.Second}, 30},
+	{discoveryFault{name: "answers late by 3 s", answerDelay: 3 * time.Second}, 30},
+	{discoveryFault{name: "answers late by 4 s", answerDelay: 4 * time.Second, noChangesBefore: 12 * time.Second}, 30},
+	{discoveryFault{name: "answers late by 5 s", answerDelay: 5 * time.Second, noChangesBefore: 12 * time.Second}, 30},
+	{discoveryFault{name: "answers late by 4 s all at once", answerDelay: 4 * time.Second, from: 10 * time.Second, noChangesBefore: 10 * time.Second}, 8},
+	{discoveryFault{name: "answers late by 5 s all at once", answerDelay: 5 * time.Second, from: 10 * time.Second, noChangesBefore: 10 * time.Second}, 8},
+	{discoveryFault{name: "refuses for 2 s", refuseShare: 1, from: 5 * time.Second, to: 7 * time.Second}, 0},
+	{discoveryFault{name: "refuses for 75 s", refuseShare: 1, from: 5 * time.Second, to: 80 * time.Second}, 0},
+	{discoveryFault{name: "refuses after 2 s for 45 s", lateRefuseShare: 1, from: 5 * time.Second, to: 50 * time.Second}, 0},
+	{discoveryFault{name: "refuses after 2 s for 75 s", lateRefuseShare: 1, from: 5 * time.Second, to: 80 * time.Second}, 8},
+	{discoveryFault{name: "silent for 2 s", noAnswerShare: 1, from: 5 * time.Second, to: 7 * time.Second}, 0},
+	{discoveryFault{name: "silent for 75 s", noAnswerShare: 1, from: 5 * time.Second, to: 80 * time.Second}, 0},
 }
 
 const (
-	modelGrace = 300 * ms // what a change may be late by
-	modelSeeds = 4
+	maxLateness = 300 * ms // what a change may be late by
+	modelSeeds  = 4
 )
 
 // playFault plays some seeds of a fault and checks that each change is known in time.
-func playFault(t *testing.T, pushed bool, nodes int, fault modelFault) {
+func requireChangesKnownInTime(t *testing.T, pushed bool, nodes int, fault discoveryFault) {
 	t.Helper()
 	for seed := range uint64(modelSeeds) {
-		m := newModelRun(t, pushed, nodes, seed, fault)
-		if late, _ := m.play(max(40*time.Second, fault.to+20*time.Second)); late > modelGrace {
+		m := newDiscoveryRun(t, pushed, nodes, seed, fault)
+		if late, _ := m.playRandomChanges(max(40*time.Second, fault.to+20*time.Second)); late > maxLateness {
 			t.Errorf("%s, pushed %t, %d nodes, seed %d: a change is known %v after it counted as told", fault.name, pushed, nodes, seed, late)
 		}
-		if m.mostOut > callsOutMost {
-			t.Errorf("%s, %d nodes: %d calls are out at once", fault.name, nodes, m.mostOut)
+		if m.mostInFlight > maxCallsInFlight {
+			t.Errorf("%s, %d nodes: %d calls are out at once", fault.name, nodes, m.mostInFlight)
 		}
 	}
 }
@@ -240,10 +240,10 @@
 // Guards rule 3 under faults of discovery: what changes is known in the time that the rules allow, however
 // late answers come, whatever share of calls fails and however long an outage was.
 func TestChangesAreKnownInTimeUnderFaultsOfDiscovery(t *testing.T) {
-	for _, fault := range faultsBorne {
+	for _, fault := range toleratedFaults {
 		for _, nodes := range []int{1, 8, 30, 300} {
 			if fault.nodes == 0 || nodes <= fault.nodes {
-				playFault(t, false, nodes, fault.modelFault)
+				requireChangesKnownInTime(t, false, nodes, fault.discoveryFault)
 			}
 		}
 	}
@@ -251,60 +251,60 @@
 
 // The same where calls fail by chance. Some changes are late then, as a fleet must not call as often as
 // chance asks for: few, and never for long.
-func TestChangesAreKnownUnderFaultsThatStrikeByChance(t *testing.T) {
-	for _, fault := range []modelFault{
-		{name: "refuses one of five", refuses: 0.2},
-		{name: "refuses half", refuses: 0.5},
-		{name: "refuses two of three", refuses: 0.67},
-		{name: "refuses one of five after 2 s", crowds: 0.2},
-		{name: "never answers one of five", dies: 0.2},
-		{name: "spoils half", spoils: 0.5},
-		{name: "spoils three of four", spoils: 0.75},
-		{name: "late by 1 s, and refuses one of five", before: time.Second, refuses: 0.2},
+func TestChangesAreKnownUnderRandomFaults(t *testing.T) {
+	for _, fault := range []discoveryFault{
+		{name: "refuses one of five", refuseShare: 0.2},
+		{name: "refuses half", refuseShare: 0.5},
+		{name: "refuses two of three", refuseShare: 0.67},
+		{name: "refuses one of five after 2 s", lateRefuseShare: 0.2},
+		{name: "never answers one of five", noAnswerShare: 0.2},
+		{name: "spoils half", unusableShare: 0.5},
+		{name: "spoils three of four", unusableShare: 0.75},
+		{name: "late by 1 s, and refuses one of five", callDelay: time.Second, refuseShare: 0.2},
 	} {
 		const seeds, share = 30, 0.03
 		changes, late, latest := 0, 0, time.Duration(0)
 		for seed := range uint64(seeds) {
-			m := newModelRun(t, false, 8, seed, fault)
-			by, count := m.play(40 * time.Second)
-			changes, late, latest = changes+len(m.changes), late+count, max(latest, by)
+			m := newDiscoveryRun(t, false, 8, seed, fault)
+			lateness, count := m.playRandomChanges(40 * time.Second)
+			changes, late, latest = changes+len(m.changes), late+count, max(latest, lateness)
 		}
 		t.Logf("%s: %d of %d changes are late, by %v at most", fault.name, late, changes, latest)
-		if float64(late) > share*float64(changes) || latest > 3*toldAfter {
+		if float64(late) > share*float64(changes) || latest > 3*maxListAge {
 			t.Errorf("%s: %d of %d changes are late, by %v at most", fault.name, late, changes, latest)
 		}
 	}
 }
 
 // The same of an agent, whose news counts as told at once.
-func TestChangesOfAnAgentAreKnownWithinTheGrace(t *testing.T) {
-	for _, kind := range []modelFault{
-		{name: "refuses", refuses: 1}, {name: "refuses after 2 s", crowds: 1}, {name: "silent", dies: 1},
+func TestChangesOfAnAgentAreKnownWithinTheDrainGrace(t *testing.T) {
+	for _, kind := range []discoveryFault{
+		{name: "refuses", refuseShare: 1}, {name: "refuses after 2 s", lateRefuseShare: 1}, {name: "silent", noAnswerShare: 1},
 	} {
 		for _, lasts := range []time.Duration{50 * ms, 300 * ms, 700 * ms, 2 * time.Second, 6 * time.Second, 75 * time.Second} {
 			kind.from, kind.to = 5*time.Second, 5*time.Second+lasts
-			playFault(t, true, 8, kind)
+			requireChangesKnownInTime(t, true, 8, kind)
 		}
 	}
-	playFault(t, true, 8, modelFault{name: "none"})
+	requireChangesKnownInTime(t, true, 8, discoveryFault{name: "none"})
 }
 
 // The calls of all nodes of a large fleet together leave discovery time for them, also while none is heard.
-func TestCallsOfAFleetFitIntoDiscoverysTime(t *testing.T) {
-	for _, fault := range []modelFault{{name: "refuses", refuses: 1}, {name: "refuses after 2 s", crowds: 1}, {name: "silent", dies: 1}, {name: "spoils", spoils: 1}} {
+func TestCallsOfALargeFleetDoNotOverloadDiscovery(t *testing.T) {
+	for _, fault := range []discoveryFault{{name: "refuses", refuseShare: 1}, {name: "refuses after 2 s", lateRefuseShare: 1}, {name: "silent", noAnswerShare: 1}, {name: "spoils", unusableShare: 1}} {
 		fault.from, fault.to = 5*time.Second, 65*time.Second
 		const nodes = 300
-		m := newModelRun(t, false, nodes, 1, fault)
-		m.play(fault.to)
+		m := newDiscoveryRun(t, false, nodes, 1, fault)
+		m.playRandomChanges(fault.to)
 		begun := 0
 		const settled = 10 * time.Second // behind the first calls, which come sooner
-		for _, at := range m.begun {
-			if m.strikes(at) && m.strikes(at-settled) {
+		for _, at := range m.callTimes {
+			if m.isFaultActive(at) && m.isFaultActive(at-settled) {
 				begun++
 			}
 		}
-		if fault.spoils > 0 {
-			begun -= burstsMost * burstTries // which come once
+		if fault.unusableShare > 0 {
+			begun -= maxBursts * callsPerBurst // which come once
 		}
 		work := time.Duration(begun*nodes) * knownCall
 		if outage := fault.to - fault.from - settled; work > outage {
@@ -314,23 +314,23 @@
 }
 
 // pollingRig is a node whose calls end and are made anew; its list was confirmed just now.
-func pollingRig(t *testing.T, pushed bool, nodes int, seed uint64) *rig {
+func newPollingRunner(t *testing.T, pushed bool, nodes int, seed uint64) *rig {
 	t.Helper()
-	m := newModelRun(t, pushed, nodes, seed, modelFault{})
-	for m.start == 0 {
-		m.step(ms)
+	m := newDiscoveryRun(t, pushed, nodes, seed, discoveryFault{})
+	for m.firstAnswerAt == 0 {
+		m.advanceStep(ms)
 	}
 	return m.rig
 }
 
 // latest gives the newest call.
-func (r *rig) latest() CallID { return r.h.calls[len(r.h.calls)-1].ID }
+func (r *rig) latestCall() CallID { return r.h.calls[len(r.h.calls)-1].ID }
 
 // fails ends the newest call in a way, and gives how long after that the next one begins.
-func (r *rig) fails(result CallResult, bytes int64) (pause time.Duration) {
+func (r *rig) failLatestCall(result CallResult, bytes int64) (pause time.Duration) {
 	r.t.Helper()
 	ended := r.now
-	r.b.CallEnded(r.now, CallEnd{ID: r.latest(), Result: result, Bytes: bytes})
+	r.b.CallEnded(r.now, CallEnd{ID: r.latestCall(), Result: result, UnusableBytes: bytes})
 	for calls := r.h.watches; r.h.watches == calls; r.pass(ms) {
 		if r.now-ended > time.Minute {
 			r.t.Fatal("no call for a minute")
@@ -341,10 +341,10 @@
 
 // The first answer counts: what was asked before it is given up, and what comes of that says nothing.
 func TestFirstAnswerEndsOlderCalls(t *testing.T) {
-	r := pollingRig(t, false, 8, 1)
-	first := r.latest()
+	r := newPollingRunner(t, false, 8, 1)
+	first := r.latestCall()
 	for range 3 {
-		r.nextCall(r.now + paceMost)
+		r.awaitNextCall(r.now + maxCallPeriod)
 	}
 	r.b.CallEnded(r.now, CallEnd{ID: first + 2, Result: CallAnswered, Changed: true})
 	if want := fmt.Sprint([]CallID{first, first + 1}); fmt.Sprint(r.h.ended) != want {
@@ -356,24 +356,24 @@
 		t.Error("the end of a call that was given up makes another one begin")
 	}
 	r.b.CallEnded(r.now, CallEnd{ID: first + 3, Result: CallAnswered, Changed: true})
-	if r.h.watches != before+1 || r.h.calls[before].Wait == 0 {
+	if r.h.watches != before+1 || r.h.calls[before].WaitForChanges == 0 {
 		t.Error("behind the answer to the newest call no watch begins")
 	}
 }
 
 // However many calls are late, calls of all ages stay out, so that an answer comes however late it is.
-func TestCallsOfAllAgesStayOut(t *testing.T) {
-	r := pollingRig(t, false, 1, 1)
-	begun := map[CallID]time.Duration{r.latest(): r.now}
+func TestCallsOfAllAgesStayInFlight(t *testing.T) {
+	r := newPollingRunner(t, false, 1, 1)
+	begun := map[CallID]time.Duration{r.latestCall(): r.now}
 	for range 200 {
-		r.nextCall(r.now + paceMost)
-		begun[r.latest()] = r.now
+		r.awaitNextCall(r.now + maxCallPeriod)
+		begun[r.latestCall()] = r.now
 		for _, id := range r.h.ended {
 			delete(begun, id)
 		}
 	}
-	if len(begun) != callsOutMost {
-		t.Fatalf("%d calls are out, want %d", len(begun), callsOutMost)
+	if len(begun) != maxCallsInFlight {
+		t.Fatalf("%d calls are out, want %d", len(begun), maxCallsInFlight)
 	}
 	for span := 4 * time.Second; span <= 64*time.Second; span *= 2 {
 		found := false
@@ -389,24 +389,24 @@
 
 // A discovery that does not wait for changes as long as it is asked to is not called without a pause.
 func TestWatchThatEndsAtOnceIsNotMadeAtOnce(t *testing.T) {
-	r := pollingRig(t, false, 8, 1)
+	r := newPollingRunner(t, false, 8, 1)
 	r.pass(10 * ms)
 	calls := r.h.watches
-	r.b.CallEnded(r.now, CallEnd{ID: r.latest(), Result: CallAnswered})
-	if r.pass(burstPace / 2); r.h.watches != calls {
+	r.b.CallEnded(r.now, CallEnd{ID: r.latestCall(), Result: CallAnswered})
+	if r.pass(burstInterval / 2); r.h.watches != calls {
 		t.Error("a watch that ended without news is made anew at once")
 	}
-	if r.pass(burstPace); r.h.watches != calls+1 {
+	if r.pass(burstInterval); r.h.watches != calls+1 {
 		t.Error("a watch that ended without news is not made anew")
 	}
 }
 
 // Guards rule 3 at the return of an agent: what it gets then counts as told at once.
 func TestAgentThatIsDownIsCalledWithinTheDrainGrace(t *testing.T) {
-	r := pollingRig(t, true, 300, 1)
+	r := newPollingRunner(t, true, 300, 1)
 	grace := r.b.set.Rules.DrainGrace
 	for i := range 30 {
-		if pause := r.fails(CallFailed, 0); pause <= 0 || pause > grace/agentPart+ms {
+		if pause := r.failLatestCall(CallFailed, 0); pause <= 0 || pause > grace/agentPeriodDivisor+ms {
 			t.Fatalf("failure %d: the next call comes %v later", i, pause)
 		}
 	}
@@ -414,13 +414,13 @@
 
 // The same where some of its answers can't be taken.
 func TestAgentThatIsDownIsCalledOftenAfterUnusableAnswers(t *testing.T) {
-	r := pollingRig(t, true, 300, 1)
+	r := newPollingRunner(t, true, 300, 1)
 	for i := range 40 {
 		result, bytes := CallFailed, int64(0)
 		if i%4 == 0 {
 			result, bytes = CallUnusable, 300
 		}
-		if pause := r.fails(result, bytes); pause <= 0 || pause > r.b.set.Rules.DrainGrace/agentPart+ms {
+		if pause := r.failLatestCall(result, bytes); pause <= 0 || pause > r.b.set.Rules.DrainGrace/agentPeriodDivisor+ms {
 			t.Fatalf("call %d came to nothing, and the next comes %v later", i, pause)
 		}
 	}
@@ -429,24 +429,24 @@
 // Guards discovery and the node against a list that can't be taken, as one that is too large: it costs both
 // as much as a good one, and was called for again at once (75 calls and 539 MB in 8 s, each request
 // refused). The longer it is, the longer is the pause behind it, up to what the rules leave time for.
-func TestListThatCannotBeTakenIsCalledForLessAndLessOften(t *testing.T) {
+func TestUnusableListIsRequestedLessAndLessOften(t *testing.T) {
 	for _, pushed := range []bool{true, false} {
 		last := time.Duration(0)
 		for _, bytes := range []int64{100, 64 << 10, 256 << 10, 512 << 10, 8 << 20, 128 << 20} {
-			r := pollingRig(t, pushed, 1, 1)
-			r.fails(CallUnusable, bytes) // the watch
-			pause := r.fails(CallUnusable, bytes)
+			r := newPollingRunner(t, pushed, 1, 1)
+			r.failLatestCall(CallUnusable, bytes) // the watch
+			pause := r.failLatestCall(CallUnusable, bytes)
 			rate := float64(bytes) / pause.Seconds()
-			if pause < last || pause < unusableLeast || pause > unusableMost+ms || rate > 1.05*unusableRate && pause < unusableMost {
+			if pause < last || pause < minUnusablePause || pause > maxUnusablePause+ms || rate > 1.05*unusableBytesPerSecond && pause < maxUnusablePause {
 				t.Errorf("pushed %t: %v behind %d bytes, after %v behind fewer", pushed, pause, bytes, last)
 			}
 			last = pause
 		}
-		if last < unusableMost {
-			t.Errorf("pauses reach %v, want %v", last, unusableMost)
+		if last < maxUnusablePause {
+			t.Errorf("pauses reach %v, want %v", last, maxUnusablePause)
 		}
 	}
-	if longest := unusableMost; longest+callRoom > toldAfter {
+	if longest := maxUnusablePause; longest+callReserve > maxListAge {
 		t.Errorf("calls %v apart are told too late", longest)
 	}
 }
@@ -455,22 +455,22 @@
 func TestLongCallsCountTowardsTheDelay(t *testing.T) {
 	for seed := range uint64(20) {
 		for _, took := range []time.Duration{0, 100 * ms, 300 * ms} {
-			r := pollingRig(t, false, 300, seed)
-			for overdue := r.now + 2*toldAfter; r.now < overdue; {
-				r.fails(CallFailed, 0) // up to the pace of the fleet
+			r := newPollingRunner(t, false, 300, seed)
+			for overdue := r.now + 2*maxListAge; r.now < overdue; {
+				r.failLatestCall(CallFailed, 0) // up to the pace of the fleet
 			}
 			began := r.now
 			r.pass(took)
-			r.fails(CallFailed, 0)
-			const least = paceMost / 2
-			if apart := r.now - began; apart < least || apart > paceMost {
-				t.Errorf("a call of %v: the next one begins after %v, want %v to %v", took, apart, least, paceMost)
+			r.failLatestCall(CallFailed, 0)
+			const least = maxCallPeriod / 2
+			if apart := r.now - began; apart < least || apart > maxCallPeriod {
+				t.Errorf("a call of %v: the next one begins after %v, want %v to %v", took, apart, least, maxCallPeriod)
 			}
 		}
 	}
 }
 
-func TestJitterStaysInItsPart(t *testing.T) {
+func TestJitterStaysInItsRange(t *testing.T) {
 	r := newRig(t, testSettings(), 1)
 	least, most := time.Hour, time.Duration(0)
 	for range 1000 {
@@ -484,26 +484,26 @@
 
 // Short answers that can't be taken, as changes in place of the list, are called for soon at first, as they
 // may be spoilt by chance, and then less and less often up to the longest time between two calls.
-func TestChangesInPlaceOfTheListAreCalledForLessAndLessOften(t *testing.T) {
-	r := pollingRig(t, false, 8, 1)
-	for range burstsMost*burstTries + 2*doublings {
-		r.fails(CallUnusable, 40)
+func TestShortUnusableAnswersAreRequestedLessAndLessOften(t *testing.T) {
+	r := newPollingRunner(t, false, 8, 1)
+	for range maxBursts*callsPerBurst + 2*maxBackoffDoublings {
+		r.failLatestCall(CallUnusable, 40)
 	}
 	for range 10 {
-		if pause := r.fails(CallUnusable, 40); pause < paceMost-paceMost/belowPart-ms || pause > paceMost+ms {
-			t.Errorf("a pause of %v behind many answers that can't be taken, want about %v", pause, paceMost)
+		if pause := r.failLatestCall(CallUnusable, 40); pause < maxCallPeriod-maxCallPeriod/jitterDivisor-ms || pause > maxCallPeriod+ms {
+			t.Errorf("a pause of %v behind many answers that can't be taken, want about %v", pause, maxCallPeriod)
 		}
 	}
 }
 
 // A list over the bound on servers has some megabytes, and is called for as seldom as the rules allow.
-func TestListOverTheBoundIsCalledForLessAndLessOften(t *testing.T) {
+func TestOversizedListIsRequestedLessAndLessOften(t *testing.T) {
 	for _, pushed := range []bool{true, false} {
-		r := pollingRig(t, pushed, 8, 1)
-		r.fails(CallUnusable, 1<<20) // the watch
+		r := newPollingRunner(t, pushed, 8, 1)
+		r.failLatestCall(CallUnusable, 1<<20) // the watch
 		for range 10 {
-			if pause := r.fails(CallUnusable, 1<<20); pause < unusableMost {
-				t.Errorf("pushed %t: a pause of %v behind a list over the bound, want %v", pushed, pause, unusableMost)
+			if pause := r.failLatestCall(CallUnusable, 1<<20); pause < maxUnusablePause {
+				t.Errorf("pushed %t: a pause of %v behind a list over the bound, want %v", pushed, pause, maxUnusablePause)
 			}
 		}
 	}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -23,9 +23,9 @@
 }
 func (p *printer) Fail(id policy.RequestID, _ policy.Reason) { fmt.Println("fail request", id) }
 func (p *printer) SetTimer(at time.Duration, _ uint64)       { p.at = at }
-func (p *printer) Ready()                                    {}
-func (p *printer) CallList(policy.Call)                      { fmt.Println("watch the list") }
-func (p *printer) EndCall(policy.CallID)                     {}
+func (p *printer) MarkReady()                                {}
+func (p *printer) StartCall(policy.Call)                     { fmt.Println("watch the list") }
+func (p *printer) CancelCall(policy.CallID)                  {}
 
 // A request is served, one is retried elsewhere and served, and one is refused
 // because its only server drains.
@@ -43,9 +43,9 @@
 		return
 	}
 	now := time.Second // any monotonic clock
-	b.Members(now, policy.ListFull, []policy.Entry{
-		{Server: 1, State: policy.Ready, Weight: 1},
-		{Server: 2, State: policy.Ready, Weight: 1},
+	b.ListUpdated(now, policy.ListWhole, []policy.Entry{
+		{Server: 1, State: policy.StateInService, Weight: 1},
+		{Server: 2, State: policy.StateInService, Weight: 1},
 	})
 
 	b.Request(now, policy.Request{ID: 1, Left: 2 * time.Second})
@@ -61,7 +61,7 @@
 	b.Outcome(now, policy.Outcome{ID: 2, Attempt: 1, Status: policy.OK, Ended: true,
 		Latency: 20 * time.Millisecond})
 
-	b.Members(now, policy.ListFull, nil) // nobody is left
+	b.ListUpdated(now, policy.ListWhole, nil) // nobody is left
 	b.Request(now, policy.Request{ID: 3, Left: 2 * time.Second})
 
 	// Output:
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -29,7 +29,7 @@
 func watchers(t *testing.T, size, nodes int, seed uint64, g registry, limit time.Duration) (took time.Duration, calls int) {
 	t.Helper()
 	set := testSettings()
-	set.Nodes, set.ListAsked = size, true
+	set.Nodes, set.ListOnRequest = size, true
 	type news struct {
 		at time.Duration
 		ok bool
@@ -62,7 +62,7 @@
 				hears[i] = nil
 				if n.ok {
 					armed++
-					r.list(ListDelta)
+					r.list(ListChanges)
 				} else {
 					r.list(ListFailed)
 				}
@@ -142,7 +142,7 @@
 	for _, nodes := range []int{1, 20, 350} {
 		for seed := range uint64(20) {
 			set := testSettings()
-			set.Nodes, set.ListAsked = nodes, true
+			set.Nodes, set.ListOnRequest = nodes, true
 			h := newHost()
 			b, err := New(set, seed, h)
 			if err != nil {
@@ -160,7 +160,7 @@
 			}
 			r.list(ListCached, ready(1, 60)...)
 			next(set.Rules.MustAsk)
-			r.list(ListDelta)
+			r.list(ListChanges)
 			r.list(ListFailed) // the watch breaks
 			next(told - call)
 			for _, took := range []time.Duration{0, time.Second, 2 * time.Second, 0, 2 * time.Second} {
@@ -176,7 +176,7 @@
 // the list first, so its call must not wait for as long as the settings let others wait.
 func TestNodesWithNoListAskForItSoon(t *testing.T) {
 	set := testSettings()
-	set.Nodes, set.ListAsked, set.Rules.MustAsk = 350, true, time.Minute
+	set.Nodes, set.ListOnRequest, set.Rules.MustAsk = 350, true, time.Minute
 	late := 0
 	for seed := range uint64(set.Nodes) {
 		h := newHost()
@@ -206,7 +206,7 @@
 // that it has not heard of, however large the fleet.
 func TestFirstCallComesBeforeItCountsAsTold(t *testing.T) {
 	set := testSettings()
-	set.Nodes, set.ListAsked = 400, true
+	set.Nodes, set.ListOnRequest = 400, true
 	call := 500 * ms // what a call may take
 	for seed := range uint64(40) {
 		h := newHost()
@@ -222,7 +222,7 @@
 			if h.watches == calls {
 				t.Fatalf("seed %d: no call within %v of %s", seed, within-call, after)
 			}
-			r.list(ListDelta)
+			r.list(ListChanges)
 		}
 		r.list(ListCached, ready(1, 60)...)
 		expect("the start", set.Rules.MustAsk)
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -45,7 +45,7 @@
 	case p == nil || p.done:
 		w.t.Errorf("%v: sent request %d, which is finished", w.now, id)
 		return
-	case s.State != Ready:
+	case s.State != StateInService:
 		w.t.Errorf("%v: sent request %d to server %d in state %d", w.now, id, server, s.State)
 	case len(p.attempts) >= 4:
 		w.t.Errorf("%v: request %d has too many attempts", w.now, id)
@@ -80,7 +80,7 @@
 		return
 	}
 	a := p.attempts[attempt]
-	if !p.done && w.state[a.server.Server].State == Ready {
+	if !p.done && w.state[a.server.Server].State == StateInService {
 		w.t.Errorf("%v: withdrew request %d from server %d, which is ready", w.now, id, a.server.Server)
 	}
 	a.asked = true
@@ -170,15 +170,15 @@
 // change drains, removes, restarts or adds a server.
 func (w *world) change(start time.Duration) {
 	id := ServerID(1 + w.rng.IntN(12))
-	e := Entry{Server: id, Cell: int(id) / 3, Weight: 1, State: State(w.rng.IntN(3))}
+	e := Entry{Server: id, Cell: int(id) / 3, Weight: 1, State: ServerState(w.rng.IntN(3))}
 	if w.rng.IntN(3) == 0 {
-		e.State, e.Started = Ready, start
+		e.State, e.StartedAt = StateInService, start
 	}
 	w.state[id] = e
-	w.b.Members(w.now, ListDelta, []Entry{e})
+	w.b.ListUpdated(w.now, ListChanges, []Entry{e})
 	for request, p := range w.open {
 		for i, a := range p.attempts {
-			if a.out && !p.done && a.server.Server == id && e.State != Ready && !a.asked {
+			if a.out && !p.done && a.server.Server == id && e.State != StateInService && !a.asked {
 				w.t.Errorf("%v: attempt %d of request %d at server %d was not taken back", w.now, i, request, id)
 			}
 		}
@@ -202,7 +202,7 @@
 		entries[i].Cell = int(entries[i].Server) / 3
 		w.state[entries[i].Server] = entries[i]
 	}
-	b.Members(w.now, ListCached, entries)
+	b.ListUpdated(w.now, ListCached, entries)
 	var ids []RequestID
 	for step := range 4000 {
 		w.now += 5 * ms
--- a/policy/late_answers_test.go
+++ b/policy/late_answers_test.go
@@ -9,46 +9,46 @@
 
 // lateAnswers is a discovery that can be reached all the time and answers late from a change on, which the
 // watch that is open then misses. Calls take the faults in turn.
-type lateAnswers struct {
-	name   string
-	latest time.Duration // the longest delay of an answer that is in time
-	turns  func(late time.Duration) []modelFault
+type lateAnswerCase struct {
+	name     string
+	maxDelay time.Duration // the longest delay of an answer that is in time
+	faults   func(late time.Duration) []discoveryFault
 }
 
-var lateAnswersBorne = []lateAnswers{
-	{"each answer is late", 5 * time.Second, func(late time.Duration) []modelFault {
-		return []modelFault{{after: late}}
+var toleratedLateAnswers = []lateAnswerCase{
+	{"each answer is late", 5 * time.Second, func(late time.Duration) []discoveryFault {
+		return []discoveryFault{{answerDelay: late}}
 	}},
-	{"each call is late", 5 * time.Second, func(late time.Duration) []modelFault {
-		return []modelFault{{before: late}}
+	{"each call is late", 5 * time.Second, func(late time.Duration) []discoveryFault {
+		return []discoveryFault{{callDelay: late}}
 	}},
-	{"every other call is refused at once", 3500 * ms, func(late time.Duration) []modelFault {
-		return []modelFault{{refuses: 1}, {after: late}}
+	{"every other call is refused at once", 3500 * ms, func(late time.Duration) []discoveryFault {
+		return []discoveryFault{{refuseShare: 1}, {answerDelay: late}}
 	}},
-	{"three of four calls are refused at once", 2 * time.Second, func(late time.Duration) []modelFault {
-		return []modelFault{{refuses: 1}, {refuses: 1}, {refuses: 1}, {after: late}}
+	{"three of four calls are refused at once", 2 * time.Second, func(late time.Duration) []discoveryFault {
+		return []discoveryFault{{refuseShare: 1}, {refuseShare: 1}, {refuseShare: 1}, {answerDelay: late}}
 	}},
-	{"every other answer is cut at its end", 3 * time.Second, func(late time.Duration) []modelFault {
-		return []modelFault{{after: late, spoils: 1}, {after: late}}
+	{"every other answer is cut at its end", 3 * time.Second, func(late time.Duration) []discoveryFault {
+		return []discoveryFault{{answerDelay: late, unusableShare: 1}, {answerDelay: late}}
 	}},
-	{"two of three answers are cut at their end", 2 * time.Second, func(late time.Duration) []modelFault {
-		return []modelFault{{after: late, spoils: 1}, {after: late, spoils: 1}, {after: late}}
+	{"two of three answers are cut at their end", 2 * time.Second, func(late time.Duration) []discoveryFault {
+		return []discoveryFault{{answerDelay: late, unusableShare: 1}, {answerDelay: late, unusableShare: 1}, {answerDelay: late}}
 	}},
-	{"every other call is never answered", 3 * time.Second, func(late time.Duration) []modelFault {
-		return []modelFault{{dies: 1}, {after: late}}
+	{"every other call is never answered", 3 * time.Second, func(late time.Duration) []discoveryFault {
+		return []discoveryFault{{noAnswerShare: 1}, {answerDelay: late}}
 	}},
 }
 
 // missedChange makes a change that open calls miss, and gives the time until the node knows it.
-func (m *modelRun) missedChange(turns []modelFault) time.Duration {
-	m.turns, m.struckAt = turns, m.now
-	for _, call := range m.out {
-		call.misses = true
+func (m *discoveryRun) timeToLearnMissedChange(turns []discoveryFault) time.Duration {
+	m.faultCycle, m.faultCycleSince = turns, m.now
+	for _, call := range m.inFlight {
+		call.missesChanges = true
 	}
-	m.changes = append(m.changes, modelChange{m.now, m.now + toldAfter})
+	m.changes = append(m.changes, modelChange{m.now, m.now + maxListAge})
 	made, known := m.now, len(m.changes)
-	for m.known < known && m.now-made < time.Minute {
-		m.step(5 * ms)
+	for m.knownChanges < known && m.now-made < time.Minute {
+		m.advanceStep(5 * ms)
 	}
 	return m.now - made
 }
@@ -56,19 +56,19 @@
 // Guards rule 3 where discovery answers late, or fails some calls and answers the others late.
 func TestMissedChangeIsKnownInTimeThoughAnswersAreLate(t *testing.T) {
 	const step, seeds = 500 * ms, 12
-	for _, kind := range lateAnswersBorne {
+	for _, kind := range toleratedLateAnswers {
 		for _, nodes := range []int{1, 2, 8, 32} {
 			worst, at := time.Duration(0), ""
-			for late := time.Duration(0); late <= kind.latest; late += step {
+			for late := time.Duration(0); late <= kind.maxDelay; late += step {
 				for seed := range uint64(seeds) {
-					m := newModelRun(t, false, nodes, seed, modelFault{})
-					m.playUntil(5*time.Second + time.Duration(seed)*237*ms)
-					if took := m.missedChange(kind.turns(late)); took > worst {
+					m := newDiscoveryRun(t, false, nodes, seed, discoveryFault{})
+					m.advanceUntil(5*time.Second + time.Duration(seed)*237*ms)
+					if took := m.timeToLearnMissedChange(kind.faults(late)); took > worst {
 						worst, at = took, fmt.Sprintf("late by %v, seed %d", late, seed)
 					}
 				}
 			}
-			if worst > toldAfter+modelGrace {
+			if worst > maxListAge+maxLateness {
 				t.Errorf("%d nodes, %s: a change is known %v after it was made (%s)", nodes, kind.name, worst, at)
 			}
 		}
@@ -77,35 +77,35 @@
 
 // Guards rule 3 where discovery can be reached for a second at a time, between outages of any length.
 func TestChangeIsKnownInTimeThoughDiscoveryIsThereForASecondAtATime(t *testing.T) {
-	requireHeardReturns(t, time.Second, modelFault{name: "refuses", refuses: 1}, modelFault{name: "says nothing", dies: 1})
+	requireChangeKnownAfterOutages(t, time.Second, discoveryFault{name: "refuses", refuseShare: 1}, discoveryFault{name: "says nothing", noAnswerShare: 1})
 }
 
 // The same where calls take as long to be refused as discovery is there for.
 func TestChangeIsKnownInTimeThoughDiscoveryThatRefusesLateIsThereForASecondAtATime(t *testing.T) {
-	requireHeardReturns(t, time.Second, modelFault{name: "refuses after 1 s", crowds: 1, crowdsFor: time.Second})
+	requireChangeKnownAfterOutages(t, time.Second, discoveryFault{name: "refuses after 1 s", lateRefuseShare: 1, lateRefuseAfter: time.Second})
 }
 
 // The same where it is there for twice as long.
 func TestChangeIsKnownInTimeThoughDiscoveryThatRefusesLateIsThereForTwoSecondsAtATime(t *testing.T) {
-	requireHeardReturns(t, 2*time.Second, modelFault{name: "refuses after 1 s", crowds: 1, crowdsFor: time.Second})
+	requireChangeKnownAfterOutages(t, 2*time.Second, discoveryFault{name: "refuses after 1 s", lateRefuseShare: 1, lateRefuseAfter: time.Second})
 }
 
 // requireHeardReturns plays outages of some kinds and checks that the node knows a change once discovery was
 // there for a span.
-func requireHeardReturns(t *testing.T, there time.Duration, kinds ...modelFault) {
+func requireChangeKnownAfterOutages(t *testing.T, reachableFor time.Duration, kinds ...discoveryFault) {
 	t.Helper()
 	const seeds = 12
 	for _, kind := range kinds {
 		for _, nodes := range []int{1, 2, 8} {
-			for _, away := range []time.Duration{3 * time.Second, 9 * time.Second, 25 * time.Second, 80 * time.Second} {
-				unheard := 0
+			for _, outage := range []time.Duration{3 * time.Second, 9 * time.Second, 25 * time.Second, 80 * time.Second} {
+				unknown := 0
 				for seed := range uint64(seeds) {
-					m := newModelRun(t, false, nodes, seed, modelFault{})
-					m.playUntil(5*time.Second + time.Duration(seed)*131*ms)
-					unheard += m.unheardReturn(kind, away, there)
+					m := newDiscoveryRun(t, false, nodes, seed, discoveryFault{})
+					m.advanceUntil(5*time.Second + time.Duration(seed)*131*ms)
+					unknown += m.unknownChangesAfterOutage(kind, outage, reachableFor)
 				}
-				if unheard > 0 {
-					t.Errorf("%s for %v, %d nodes: %d of %d times no answer comes while discovery is there for %v", kind.name, away, nodes, unheard, seeds, there)
+				if unknown > 0 {
+					t.Errorf("%s for %v, %d nodes: %d of %d times no answer comes while discovery is there for %v", kind.name, outage, nodes, unknown, seeds, reachableFor)
 				}
 			}
 		}
@@ -114,83 +114,83 @@
 
 // unheardReturn makes a change as discovery goes away, and counts the times that the node does not know it
 // after discovery was there again for a span: 0 or 1.
-func (m *modelRun) unheardReturn(kind modelFault, away, there time.Duration) int {
-	m.turns, m.struckAt = []modelFault{kind}, m.now
-	for _, call := range m.out {
-		call.never = true
+func (m *discoveryRun) unknownChangesAfterOutage(kind discoveryFault, outage, reachableFor time.Duration) int {
+	m.faultCycle, m.faultCycleSince = []discoveryFault{kind}, m.now
+	for _, call := range m.inFlight {
+		call.neverAnswered = true
 	}
-	m.changes = append(m.changes, modelChange{at: m.now})
-	m.playFor(away)
-	m.turns = nil
-	m.playFor(there)
-	return len(m.changes) - m.known
+	m.changes = append(m.changes, modelChange{madeAt: m.now})
+	m.advanceInSteps(outage)
+	m.faultCycle = nil
+	m.advanceInSteps(reachableFor)
+	return len(m.changes) - m.knownChanges
 }
 
 // playFor lets some time pass in small steps.
-func (m *modelRun) playFor(span time.Duration) {
+func (m *discoveryRun) advanceInSteps(span time.Duration) {
 	for end := m.now + span; m.now < end; {
-		m.step(5 * ms)
+		m.advanceStep(5 * ms)
 	}
 }
 
 // playUntil plays up to some time after the first answer.
-func (m *modelRun) playUntil(after time.Duration) {
-	for m.start == 0 || m.now < m.start+after {
-		m.step(5 * ms)
+func (m *discoveryRun) advanceUntil(after time.Duration) {
+	for m.firstAnswerAt == 0 || m.now < m.firstAnswerAt+after {
+		m.advanceStep(5 * ms)
 	}
 }
 
 // turn gives the fault that strikes the next call, where calls take faults in turn.
-func (m *modelRun) turn() (modelFault, bool) {
-	if len(m.turns) == 0 {
-		return modelFault{}, false
+func (m *discoveryRun) faultOfCall() (discoveryFault, bool) {
+	if len(m.faultCycle) == 0 {
+		return discoveryFault{}, false
 	}
-	begun := slices.IndexFunc(m.begun, func(at time.Duration) bool { return at >= m.struckAt })
-	return m.turns[(len(m.begun)-1-max(begun, 0))%len(m.turns)], true
+	begun := slices.IndexFunc(m.callTimes, func(at time.Duration) bool { return at >= m.faultCycleSince })
+	return m.faultCycle[(len(m.callTimes)-1-max(begun, 0))%len(m.faultCycle)], true
 }
 
 // overdueCounter counts the times that a list was found to be due.
 type overdueCounter struct {
 	Observer
-	times int
-	since time.Duration
+	reports int
+	since   time.Duration
 }
 
 func (c *overdueCounter) CallPlanned(_, _ time.Duration)  {}
-func (c *overdueCounter) ListOverdue(since time.Duration) { c.times, c.since = c.times+1, since }
+func (c *overdueCounter) ListOverdue(since time.Duration) { c.reports, c.since = c.reports+1, since }
 
 // A node knows, and tells once, that what it has heard is older than the rules allow; also where an answer comes
 // that is late by as much.
-func TestListThatIsOverdueIsToldOnce(t *testing.T) {
+func TestOverdueListIsReportedOnce(t *testing.T) {
 	for name, c := range map[string]struct {
-		turns  []modelFault
+		turns  []discoveryFault
 		passes time.Duration
 		want   int
 	}{
 		"answers come":                           {nil, 60 * time.Second, 0},
-		"answers come 3 s late":                  {[]modelFault{{after: 3 * time.Second}}, 60 * time.Second, 0},
-		"none comes for less than the time":      {[]modelFault{{dies: 1}}, toldAfter - 2*time.Second, 0},
-		"none comes for long":                    {[]modelFault{{dies: 1}}, 60 * time.Second, 1},
-		"answers come later than the time is":    {[]modelFault{{after: 8 * time.Second}}, 15 * time.Second, 1},
-		"calls are refused for longer than that": {[]modelFault{{refuses: 1}}, 7 * time.Second, 1},
+		"answers come 3 s late":                  {[]discoveryFault{{answerDelay: 3 * time.Second}}, 60 * time.Second, 0},
+		"none comes for less than the time":      {[]discoveryFault{{noAnswerShare: 1}}, maxListAge - 2*time.Second, 0},
+		"none comes for long":                    {[]discoveryFault{{noAnswerShare: 1}}, 60 * time.Second, 1},
+		"answers come later than the time is":    {[]discoveryFault{{answerDelay: 8 * time.Second}}, 15 * time.Second, 1},
+		"calls are refused for longer than that": {[]discoveryFault{{refuseShare: 1}}, 7 * time.Second, 1},
 	} {
-		m := newModelRun(t, false, 8, 1, modelFault{})
+		m := newDiscoveryRun(t, false, 8, 1, discoveryFault{})
 		counter := &overdueCounter{}
 		m.b.Observe(counter)
-		m.playUntil(5 * time.Second)
-		m.turns, m.struckAt = c.turns, m.now
-		m.playFor(c.passes)
-		if counter.times != c.want {
-			t.Errorf("%s: told %d times, want %d", name, counter.times, c.want)
+		m.advanceUntil(5 * time.Second)
+		m.faultCycle, m.faultCycleSince = c.turns, m.now
+		m.advanceInSteps(c.passes)
+		if counter.reports != c.want {
+			t.Errorf("%s: told %d times, want %d", name, counter.reports, c.want)
 		}
-		if c.want > 0 && counter.since > m.struckAt+toldAfter+time.Second {
-			t.Errorf("%s: due %v after the last answer", name, counter.since-m.struckAt)
+		if c.want > 0 && counter.since > m.faultCycleSince+maxListAge+time.Second {
+			t.Errorf("%s: due %v after the last answer", name, counter.since-m.faultCycleSince)
 		}
-		if m.turns = nil; c.want > 0 {
-			m.playFor(10 * time.Second)
-			m.turns, m.struckAt = []modelFault{{dies: 1}}, m.now
-			m.playFor(10 * time.Second)
-			if counter.times <= c.want {
+		if m.faultCycle = nil; c.want > 0 {
+			m.advanceInSteps(10 * time.Second)
+			m.faultCycle, m.faultCycleSince = []discoveryFault{{noAnswerShare: 1}}, m.now
+			m.advanceInSteps(10 * time.Second)
+			if counter.reports <= c.want {
 				t.Errorf("%s: not told again behind an answer", name)
 			}
 		}
@@ -198,26 +198,26 @@
 }
 
 // Guards rule 3 behind a reload: what the other address has counts as told movedAfter later.
-func TestChangeIsKnownInTimeBehindAReloadThoughAnswersAreLate(t *testing.T) {
-	const seeds, toLate = 12, movedAfter - lateCall
+func TestChangeIsKnownInTimeAfterAReloadThoughAnswersAreLate(t *testing.T) {
+	const seeds, toLate = 12, maxAddressChangeDelay - maxLateThreshold
 	for _, kind := range []struct {
 		name  string
-		turns []modelFault
+		turns []discoveryFault
 	}{
-		{"each answer is late by 3.5 s", []modelFault{{after: 3500 * ms}}},
-		{"every other call is refused, answers are late by 2.5 s", []modelFault{{refuses: 1}, {after: 2500 * ms}}},
-		{"every other answer is cut at its end, late by 1.5 s", []modelFault{{after: toLate, spoils: 1}, {after: toLate}}},
-		{"every other call is never answered, answers are late by 1.5 s", []modelFault{{dies: 1}, {after: toLate}}},
+		{"each answer is late by 3.5 s", []discoveryFault{{answerDelay: 3500 * ms}}},
+		{"every other call is refused, answers are late by 2.5 s", []discoveryFault{{refuseShare: 1}, {answerDelay: 2500 * ms}}},
+		{"every other answer is cut at its end, late by 1.5 s", []discoveryFault{{answerDelay: toLate, unusableShare: 1}, {answerDelay: toLate}}},
+		{"every other call is never answered, answers are late by 1.5 s", []discoveryFault{{noAnswerShare: 1}, {answerDelay: toLate}}},
 	} {
 		for _, nodes := range []int{1, 8, 32} {
 			worst := time.Duration(0)
 			for seed := range uint64(seeds) {
-				m := newModelRun(t, false, nodes, seed, modelFault{})
-				m.playUntil(5*time.Second + time.Duration(seed)*237*ms)
-				m.list(ListMoved)
-				worst = max(worst, m.missedChange(kind.turns))
+				m := newDiscoveryRun(t, false, nodes, seed, discoveryFault{})
+				m.advanceUntil(5*time.Second + time.Duration(seed)*237*ms)
+				m.list(ListAddressChanged)
+				worst = max(worst, m.timeToLearnMissedChange(kind.turns))
 			}
-			if worst > movedAfter+modelGrace {
+			if worst > maxAddressChangeDelay+maxLateness {
 				t.Errorf("%d nodes, %s: a change is known %v after the reload", nodes, kind.name, worst)
 			}
 		}
--- a/policy/lifecycle_judge_test.go
+++ b/policy/lifecycle_judge_test.go
@@ -12,245 +12,245 @@
 // move to it; a node knows what a source has from its first answer on. What may be sent is judged by the
 // earlier instant and what has to be sent by the later one, so that both are free in between. So is whether
 // a source begins anew that a new configuration names again, with no other one heard meanwhile.
-type sourceBeginning uint8
+type sourceStartRule uint8
 
 const (
-	beginsWithMove sourceBeginning = iota
-	beginsWithAnswer
+	startsAtAddressChange sourceStartRule = iota
+	startsAtFirstAnswer
 )
 
 // breakKind is a way in which a rule is broken.
-type breakKind uint8
+type violationKind uint8
 
 const (
-	keepsRules breakKind = iota
+	noViolation violationKind = iota
 	sentUnconfirmed
 	sentToUnlisted
-	sentToFormerStart
-	sentToOut
-	notWithdrawn
-	withdrawnInService
-	getsNoWork
+	sentToFormerIncarnation
+	sentToOutOfService
+	notCancelledOutOfService
+	cancelledInService
+	inServiceWithoutWork
 )
 
-var breakNames = [...]string{
-	keepsRules: "keeps the rules", sentUnconfirmed: "sent before the list is confirmed",
-	sentToUnlisted: "sent though it is not listed", sentToFormerStart: "sent though it has started again",
-	sentToOut: "sent though it was told to be out of service", notWithdrawn: "not withdrawn though it was told to be out of service",
-	withdrawnInService: "withdrawn though it is in service", getsNoWork: "in service and gets no work",
+var violationNames = [...]string{
+	noViolation: "keeps the rules", sentUnconfirmed: "sent before the list is confirmed",
+	sentToUnlisted: "sent though it is not listed", sentToFormerIncarnation: "sent though it has started again",
+	sentToOutOfService: "sent though it was told to be out of service", notCancelledOutOfService: "not withdrawn though it was told to be out of service",
+	cancelledInService: "withdrawn though it is in service", inServiceWithoutWork: "in service and gets no work",
 }
 
-func (k breakKind) String() string { return breakNames[k] }
+func (k violationKind) String() string { return violationNames[k] }
 
 // ruleBreak is a rule that was broken.
-type ruleBreak struct {
-	kind    breakKind
-	at      time.Duration // since the first process has started
-	server  ServerID
-	started time.Duration // of the server
+type ruleViolation struct {
+	kind      violationKind
+	at        time.Duration // since the first process has started
+	server    ServerID
+	startedAt time.Duration // of the server
 }
 
-func (b ruleBreak) String() string {
-	return fmt.Sprintf("at %v, server %d (start %v): %v", b.at, b.server, b.started, b.kind)
+func (v ruleViolation) String() string {
+	return fmt.Sprintf("at %v, server %d (start %v): %v", v.at, v.server, v.startedAt, v.kind)
 }
 
 // listEvent is one call of Balancer.MembersFrom.
-type listEvent struct {
+type listUpdate struct {
 	origin  Origin
 	kind    ListKind
 	entries []Entry
 }
 
 // outStatement is one statement that a life of a server takes no new work.
-type outStatement struct {
-	started     time.Duration
+type outOfServiceNotice struct {
+	startedAt   time.Duration
 	origin      Origin
-	at          time.Duration
+	heardAt     time.Duration
 	partial     bool // by an answer that is not whole, or of an earlier version
 	listedAgain bool // a whole answer has listed the server in service since
 }
 
 // listedWord is the last line of a whole answer about a server that counts.
-type listedWord struct {
-	known   bool
-	started time.Duration
-	ready   bool // false also where a whole list does not name the server
-	origin  Origin
-	at      time.Duration
+type latestEntry struct {
+	known     bool
+	startedAt time.Duration
+	inService bool // false also where a whole list does not name the server
+	origin    Origin
+	heardAt   time.Duration
 }
 
 // serverRecord is all that a process was told of a server and that still counts.
 type serverRecord struct {
-	word listedWord
-	outs []outStatement
+	latest  latestEntry
+	notices []outOfServiceNotice
 }
 
 // lifecycleJudge tells from the events alone which lives of servers a process may send to. It keeps every
 // statement that a life is out of service until that very statement has been undone.
-type lifecycleJudge struct {
-	beginning sourceBeginning
-	asked     bool
-
-	processStart time.Duration
-	confirmed    bool // by a whole answer
-	heard        Origin
-	moved        bool          // to an address that has not answered yet,
-	movedAt      time.Duration // and when
-	sourceSince  time.Duration // the present source began
-	records      map[ServerID]*serverRecord
-}
-
-func newLifecycleJudge(now time.Duration, asked bool, beginning sourceBeginning) *lifecycleJudge {
-	return &lifecycleJudge{
-		beginning: beginning, asked: asked, processStart: now, movedAt: now, sourceSince: now,
+type lifecycleChecker struct {
+	sourceStart sourceStartRule
+	onRequest   bool
+
+	processStartedAt time.Duration
+	confirmed        bool // by a whole answer
+	latestOrigin     Origin
+	addressChanged   bool          // to an address that has not answered yet,
+	addressChangedAt time.Duration // and when
+	sourceSince      time.Duration // the present source began
+	records          map[ServerID]*serverRecord
+}
+
+func newLifecycleChecker(now time.Duration, onRequest bool, sourceStart sourceStartRule) *lifecycleChecker {
+	return &lifecycleChecker{
+		sourceStart: sourceStart, onRequest: onRequest, processStartedAt: now, addressChangedAt: now, sourceSince: now,
 		records: map[ServerID]*serverRecord{},
 	}
 }
 
 // record gives what is known of a server.
-func (j *lifecycleJudge) record(server ServerID) *serverRecord {
-	r := j.records[server]
+func (c *lifecycleChecker) record(server ServerID) *serverRecord {
+	r := c.records[server]
 	if r == nil {
 		r = &serverRecord{}
-		j.records[server] = r
+		c.records[server] = r
 	}
 	return r
 }
 
 // hear takes an event in.
-func (j *lifecycleJudge) hear(now time.Duration, event listEvent) {
+func (c *lifecycleChecker) apply(now time.Duration, event listUpdate) {
 	switch event.kind {
-	case ListMoved:
-		j.moved, j.movedAt = true, now
-	case ListLeaving, ListOutdated:
-		j.hearPart(now, event)
-	case ListCached, ListDelta, ListFull:
-		j.hearWhole(now, event)
-		j.expire(now)
+	case ListAddressChanged:
+		c.addressChanged, c.addressChangedAt = true, now
+	case ListPartial, ListOutdated:
+		c.applyPartial(now, event)
+	case ListCached, ListChanges, ListWhole:
+		c.applyWhole(now, event)
+		c.expireNotices(now)
 	}
 }
 
 // hearPart takes in an event of which only what leaves counts. A line of a former life may count against
 // the present one where it could in a whole answer: such a server need not get work, and may.
-func (j *lifecycleJudge) hearPart(now time.Duration, event listEvent) {
+func (c *lifecycleChecker) applyPartial(now time.Duration, event listUpdate) {
 	for _, e := range event.entries {
-		if e.State == Ready {
+		if e.State == StateInService {
 			continue
 		}
-		r, started := j.record(e.Server), e.Started
-		later := event.origin.Source == r.word.origin.Source && event.origin.Version > r.word.origin.Version
-		if j.beginning == beginsWithAnswer && (later || now >= r.word.at+catchUpMost) {
-			started = max(started, r.word.started)
+		r, started := c.record(e.Server), e.StartedAt
+		later := event.origin.Source == r.latest.origin.Source && event.origin.Version > r.latest.origin.Version
+		if c.sourceStart == startsAtFirstAnswer && (later || now >= r.latest.heardAt+maxReplicaLag) {
+			started = max(started, r.latest.startedAt)
 		}
-		r.out(now, event.origin, started, true)
+		r.recordOutOfService(now, event.origin, started, true)
 	}
 	if event.kind == ListOutdated {
-		j.unnamedAreOut(now, event, true)
+		c.recordUnnamedOutOfService(now, event, true)
 	}
 }
 
 // hearWhole takes in an answer that counts as a whole.
-func (j *lifecycleJudge) hearWhole(now time.Duration, event listEvent) {
+func (c *lifecycleChecker) applyWhole(now time.Duration, event listUpdate) {
 	origin := event.origin
-	isAnother := origin.Source != j.heard.Source
+	isAnother := origin.Source != c.latestOrigin.Source
 	switch {
-	case isAnother && j.beginning == beginsWithMove:
-		j.sourceSince = j.movedAt
-	case !isAnother && origin.Version < j.heard.Version, j.moved && j.beginning == beginsWithAnswer:
-		j.sourceSince = now
+	case isAnother && c.sourceStart == startsAtAddressChange:
+		c.sourceSince = c.addressChangedAt
+	case !isAnother && origin.Version < c.latestOrigin.Version, c.addressChanged && c.sourceStart == startsAtFirstAnswer:
+		c.sourceSince = now
 	}
-	j.heard, j.moved = origin, false
+	c.latestOrigin, c.addressChanged = origin, false
 	if event.kind != ListCached {
-		j.confirmed = true
+		c.confirmed = true
 	}
 	for _, e := range event.entries {
-		j.hearLine(now, origin, e)
+		c.applyEntry(now, origin, e)
 	}
-	if event.kind != ListDelta {
-		j.unnamedAreOut(now, event, false)
+	if event.kind != ListChanges {
+		c.recordUnnamedOutOfService(now, event, false)
 		return
 	}
-	for server, r := range j.records {
+	for server, r := range c.records {
 		if !event.names(server) {
-			r.settle(now, origin, j.sourceSince)
+			r.undoPartialNotices(now, origin, c.sourceSince)
 		}
 	}
 }
 
 // names tells whether an event has a line of a server.
-func (e *listEvent) names(server ServerID) bool {
+func (e *listUpdate) names(server ServerID) bool {
 	return slices.ContainsFunc(e.entries, func(line Entry) bool { return line.Server == server })
 }
 
 // unnamedAreOut takes in what a whole list does not name.
-func (j *lifecycleJudge) unnamedAreOut(now time.Duration, event listEvent, partial bool) {
-	for server, r := range j.records {
+func (c *lifecycleChecker) recordUnnamedOutOfService(now time.Duration, event listUpdate, partial bool) {
+	for server, r := range c.records {
 		if event.names(server) {
 			continue
 		}
 		if !partial {
-			r.word.ready, r.word.origin, r.word.at = false, event.origin, now
+			r.latest.inService, r.latest.origin, r.latest.heardAt = false, event.origin, now
 		}
-		r.out(now, event.origin, r.latestStart(), partial)
+		r.recordOutOfService(now, event.origin, r.latestStart(), partial)
 	}
 }
 
 // latestStart is the latest start of a server that any line has told.
 func (r *serverRecord) latestStart() time.Duration {
-	latest := r.word.started
-	for _, o := range r.outs {
-		latest = max(latest, o.started)
+	latest := r.latest.startedAt
+	for _, o := range r.notices {
+		latest = max(latest, o.startedAt)
 	}
 	return latest
 }
 
 // hearLine takes in a line of a whole answer. One of an earlier life than is known says nothing, unless
 // it is a later word of the same source, or all sources must have caught up.
-func (j *lifecycleJudge) hearLine(now time.Duration, origin Origin, e Entry) {
-	r := j.record(e.Server)
-	if former := r.word.known && e.Started < r.word.started; former {
-		later := origin.Source == r.word.origin.Source && origin.Version > r.word.origin.Version
-		if !later && now < max(r.word.at, j.sourceSince)+catchUpMost {
+func (c *lifecycleChecker) applyEntry(now time.Duration, origin Origin, e Entry) {
+	r := c.record(e.Server)
+	if former := r.latest.known && e.StartedAt < r.latest.startedAt; former {
+		later := origin.Source == r.latest.origin.Source && origin.Version > r.latest.origin.Version
+		if !later && now < max(r.latest.heardAt, c.sourceSince)+maxReplicaLag {
 			return
 		}
 	}
-	r.word = listedWord{known: true, started: e.Started, ready: e.State == Ready, origin: origin, at: now}
-	if e.State != Ready {
-		r.out(now, origin, e.Started, false)
+	r.latest = latestEntry{known: true, startedAt: e.StartedAt, inService: e.State == StateInService, origin: origin, heardAt: now}
+	if e.State != StateInService {
+		r.recordOutOfService(now, origin, e.StartedAt, false)
 		return
 	}
-	r.listAgain(origin, e.Started)
+	r.relist(origin, e.StartedAt)
 }
 
 // out notes that a life takes no new work. The same statement once more counts from then on.
-func (r *serverRecord) out(now time.Duration, origin Origin, started time.Duration, partial bool) {
-	same := func(o outStatement) bool {
-		return o.started == started && o.origin.Source == origin.Source && o.partial == partial
+func (r *serverRecord) recordOutOfService(now time.Duration, origin Origin, startedAt time.Duration, partial bool) {
+	same := func(o outOfServiceNotice) bool {
+		return o.startedAt == startedAt && o.origin.Source == origin.Source && o.partial == partial
 	}
-	next := outStatement{started: started, origin: origin, at: now, partial: partial}
-	if i := slices.IndexFunc(r.outs, same); i >= 0 {
-		next.origin.Version = max(next.origin.Version, r.outs[i].origin.Version)
-		r.outs = slices.Delete(r.outs, i, i+1)
+	next := outOfServiceNotice{startedAt: startedAt, origin: origin, heardAt: now, partial: partial}
+	if i := slices.IndexFunc(r.notices, same); i >= 0 {
+		next.origin.Version = max(next.origin.Version, r.notices[i].origin.Version)
+		r.notices = slices.Delete(r.notices, i, i+1)
 	}
-	r.outs = append(r.outs, next)
+	r.notices = append(r.notices, next)
 }
 
 // listAgain undoes what a line in service undoes: statements of the same source that are earlier, and
 // those of lives that are over.
-func (r *serverRecord) listAgain(origin Origin, started time.Duration) {
-	kept := r.outs[:0]
-	for _, o := range r.outs {
-		if o.started < started || o.undoneBy(origin) {
+func (r *serverRecord) relist(origin Origin, startedAt time.Duration) {
+	kept := r.notices[:0]
+	for _, o := range r.notices {
+		if o.startedAt < startedAt || o.undoneBy(origin) {
 			continue
 		}
 		o.listedAgain = true
 		kept = append(kept, o)
 	}
-	r.outs = kept
+	r.notices = kept
 }
 
 // undoneBy tells whether a later word of the same source undoes a statement.
-func (o *outStatement) undoneBy(origin Origin) bool {
+func (o *outOfServiceNotice) undoneBy(origin Origin) bool {
 	if origin.Source != o.origin.Source {
 		return false
 	}
@@ -260,197 +260,197 @@
 // settle undoes what was not told by a whole answer, by whole changes that do not name the server: those
 // of the same source up to that version, or of the present one once any source must have caught up. Where
 // whole answers have it out of service too, there is nothing to go back to.
-func (r *serverRecord) settle(now time.Duration, origin Origin, sourceSince time.Duration) {
-	if !r.word.ready {
+func (r *serverRecord) undoPartialNotices(now time.Duration, origin Origin, sourceSince time.Duration) {
+	if !r.latest.inService {
 		return
 	}
-	r.outs = slices.DeleteFunc(r.outs, func(o outStatement) bool {
-		caughtUp := now >= max(o.at, sourceSince)+catchUpMost
+	r.notices = slices.DeleteFunc(r.notices, func(o outOfServiceNotice) bool {
+		caughtUp := now >= max(o.heardAt, sourceSince)+maxReplicaLag
 		return o.partial && (o.undoneBy(origin) || caughtUp)
 	})
 }
 
 // expire undoes statements against servers that are listed in service all the same, at an answer that comes
 // once any source must have caught up. Silence undoes nothing.
-func (j *lifecycleJudge) expire(now time.Duration) {
-	for _, r := range j.records {
-		if !r.word.ready {
+func (c *lifecycleChecker) expireNotices(now time.Duration) {
+	for _, r := range c.records {
+		if !r.latest.inService {
 			continue
 		}
-		r.outs = slices.DeleteFunc(r.outs, func(o outStatement) bool {
-			return o.listedAgain && now >= max(o.at, j.sourceSince)+catchUpMost
+		r.notices = slices.DeleteFunc(r.notices, func(o outOfServiceNotice) bool {
+			return o.listedAgain && now >= max(o.heardAt, c.sourceSince)+maxReplicaLag
 		})
 	}
 }
 
 // serving tells whether requests may be served at all.
-func (j *lifecycleJudge) serving(now time.Duration) bool {
-	return j.confirmed || j.asked && now >= j.processStart+serveUnconfirmed
+func (c *lifecycleChecker) serving(now time.Duration) bool {
+	return c.confirmed || c.onRequest && now >= c.processStartedAt+maxConfirmationWait
 }
 
 // toldOut tells whether a life of a server was told to take no new work.
-func (j *lifecycleJudge) toldOut(server ServerID, started time.Duration) bool {
-	r := j.record(server)
-	if r.word.known && !r.word.ready && r.word.started >= started {
+func (c *lifecycleChecker) isOutOfService(server ServerID, startedAt time.Duration) bool {
+	r := c.record(server)
+	if r.latest.known && !r.latest.inService && r.latest.startedAt >= startedAt {
 		return true
 	}
-	return slices.ContainsFunc(r.outs, func(o outStatement) bool { return o.started >= started })
+	return slices.ContainsFunc(r.notices, func(o outOfServiceNotice) bool { return o.startedAt >= startedAt })
 }
 
 // inService tells whether a server has to get work, and which life of it.
-func (j *lifecycleJudge) inService(now time.Duration, server ServerID) (started time.Duration, in bool) {
-	word := j.record(server).word
-	return word.started, j.serving(now) && word.ready && !j.toldOut(server, word.started)
+func (c *lifecycleChecker) mustGetWork(now time.Duration, server ServerID) (startedAt time.Duration, required bool) {
+	latest := c.record(server).latest
+	return latest.startedAt, c.serving(now) && latest.inService && !c.isOutOfService(server, latest.startedAt)
 }
 
 // judgeSend tells which rule an attempt breaks that begins, or keepsRules.
-func (j *lifecycleJudge) judgeSend(now time.Duration, server ServerID, started time.Duration) breakKind {
-	word := j.record(server).word
+func (c *lifecycleChecker) checkSend(now time.Duration, server ServerID, startedAt time.Duration) violationKind {
+	latest := c.record(server).latest
 	switch {
-	case !j.serving(now):
+	case !c.serving(now):
 		return sentUnconfirmed
-	case !word.known:
+	case !latest.known:
 		return sentToUnlisted
-	case started < word.started:
-		return sentToFormerStart
-	case j.toldOut(server, started):
-		return sentToOut
+	case startedAt < latest.startedAt:
+		return sentToFormerIncarnation
+	case c.isOutOfService(server, startedAt):
+		return sentToOutOfService
 	}
-	return keepsRules
+	return noViolation
 }
 
 // state words all that the judge's later verdicts rest on.
-func (j *lifecycleJudge) state(text *strings.Builder) {
-	fmt.Fprint(text, j.processStart, j.confirmed, j.heard, j.moved, j.movedAt, j.sourceSince)
+func (c *lifecycleChecker) writeState(text *strings.Builder) {
+	fmt.Fprint(text, c.processStartedAt, c.confirmed, c.latestOrigin, c.addressChanged, c.addressChangedAt, c.sourceSince)
 	for server := range ServerID(lifecycleServers) {
-		if r := j.records[server+1]; r != nil {
-			fmt.Fprint(text, "|", r.word, r.outs)
+		if r := c.records[server+1]; r != nil {
+			fmt.Fprint(text, "|", r.latest, r.notices)
 		}
 	}
 }
 
 // toldRig is a judge of a process whose list of two servers, version 1 of source 1, is confirmed.
-func toldRig() *lifecycleJudge {
-	j := newLifecycleJudge(0, true, beginsWithMove)
-	j.hear(0, listEvent{Origin{1, 1}, ListFull, ready(1, 2)})
-	return j
+func newConfirmedChecker() *lifecycleChecker {
+	checker := newLifecycleChecker(0, true, startsAtAddressChange)
+	checker.apply(0, listUpdate{Origin{1, 1}, ListWhole, ready(1, 2)})
+	return checker
 }
 
 // draining gives a line of a server that drains.
-func draining(server ServerID, started time.Duration) Entry {
-	return Entry{Server: server, State: Draining, Started: started}
+func drainingEntry(server ServerID, started time.Duration) Entry {
+	return Entry{Server: server, State: StateDraining, StartedAt: started}
 }
 
 // The judge of the model has to catch each break of the rules, or the model proves nothing.
-func TestLifecycleJudgeCatchesSendsThatBreakTheRules(t *testing.T) {
+func TestLifecycleCheckerCatchesSendsThatBreakTheRules(t *testing.T) {
 	inService := ready(1, 1)[0]
 	later := inService
-	later.Started = time.Hour
+	later.StartedAt = time.Hour
 	for name, c := range map[string]struct {
-		events []listEvent
+		events []listUpdate
 		at     time.Duration
-		want   breakKind
+		want   violationKind
 	}{
-		"told by changes":      {[]listEvent{{Origin{1, 2}, ListDelta, []Entry{draining(1, 0)}}}, 0, sentToOut},
-		"told gone":            {[]listEvent{{Origin{1, 2}, ListDelta, []Entry{{Server: 1, State: Gone}}}}, 0, sentToOut},
-		"not named":            {[]listEvent{{Origin{1, 2}, ListFull, ready(2, 2)}}, 0, sentToOut},
-		"told by a cut answer": {[]listEvent{{Origin{1, 2}, ListLeaving, []Entry{draining(1, 0)}}}, 0, sentToOut},
-		"told by an earlier version": {[]listEvent{
-			{Origin{1, 3}, ListFull, ready(1, 2)}, {Origin{1, 2}, ListOutdated, ready(2, 2)}}, 0, sentToOut},
-		"told, and silence since": {[]listEvent{{Origin{1, 2}, ListDelta, []Entry{draining(1, 0)}}}, 10 * catchUpMost, sentToOut},
+		"told by changes":      {[]listUpdate{{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, 0)}}}, 0, sentToOutOfService},
+		"told gone":            {[]listUpdate{{Origin{1, 2}, ListChanges, []Entry{{Server: 1, State: StateGone}}}}, 0, sentToOutOfService},
+		"not named":            {[]listUpdate{{Origin{1, 2}, ListWhole, ready(2, 2)}}, 0, sentToOutOfService},
+		"told by a cut answer": {[]listUpdate{{Origin{1, 2}, ListPartial, []Entry{drainingEntry(1, 0)}}}, 0, sentToOutOfService},
+		"told by an earlier version": {[]listUpdate{
+			{Origin{1, 3}, ListWhole, ready(1, 2)}, {Origin{1, 2}, ListOutdated, ready(2, 2)}}, 0, sentToOutOfService},
+		"told, and silence since": {[]listUpdate{{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, 0)}}}, 10 * maxReplicaLag, sentToOutOfService},
 		"told by a cut answer, and silence since": {
-			[]listEvent{{Origin{1, 2}, ListLeaving, []Entry{draining(1, 0)}}}, 10 * catchUpMost, sentToOut},
-		"listed by another source, and silence since": {[]listEvent{
-			{Origin{1, 2}, ListDelta, []Entry{draining(1, 0)}}, {Origin{2, 9}, ListMoved, nil},
-			{Origin{2, 9}, ListFull, ready(1, 2)}}, 10 * catchUpMost, sentToOut},
-		"listed by a version that went back": {[]listEvent{
-			{Origin{1, 5}, ListDelta, []Entry{draining(1, 0)}}, {Origin{1, 1}, ListFull, ready(1, 2)}}, 10 * catchUpMost, sentToOut},
-		"listed by the second of two sources that told it": {[]listEvent{
-			{Origin{1, 2}, ListDelta, []Entry{draining(1, 0)}}, {Origin{2, 1}, ListMoved, nil},
-			{Origin{2, 1}, ListFull, ready(2, 2)}, {Origin{2, 2}, ListDelta, []Entry{inService}}}, 0, sentToOut},
-		"an earlier start": {[]listEvent{
-			{Origin{1, 2}, ListDelta, []Entry{later}}, {Origin{2, 9}, ListFull, ready(1, 2)}}, 0, sentToFormerStart},
-		"a later start that is out, an earlier one listed": {[]listEvent{
-			{Origin{1, 2}, ListDelta, []Entry{draining(1, time.Hour)}}, {Origin{2, 9}, ListFull, ready(1, 2)}}, 0, sentToFormerStart},
+			[]listUpdate{{Origin{1, 2}, ListPartial, []Entry{drainingEntry(1, 0)}}}, 10 * maxReplicaLag, sentToOutOfService},
+		"listed by another source, and silence since": {[]listUpdate{
+			{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, 0)}}, {Origin{2, 9}, ListAddressChanged, nil},
+			{Origin{2, 9}, ListWhole, ready(1, 2)}}, 10 * maxReplicaLag, sentToOutOfService},
+		"listed by a version that went back": {[]listUpdate{
+			{Origin{1, 5}, ListChanges, []Entry{drainingEntry(1, 0)}}, {Origin{1, 1}, ListWhole, ready(1, 2)}}, 10 * maxReplicaLag, sentToOutOfService},
+		"listed by the second of two sources that told it": {[]listUpdate{
+			{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, 0)}}, {Origin{2, 1}, ListAddressChanged, nil},
+			{Origin{2, 1}, ListWhole, ready(2, 2)}, {Origin{2, 2}, ListChanges, []Entry{inService}}}, 0, sentToOutOfService},
+		"an earlier start": {[]listUpdate{
+			{Origin{1, 2}, ListChanges, []Entry{later}}, {Origin{2, 9}, ListWhole, ready(1, 2)}}, 0, sentToFormerIncarnation},
+		"a later start that is out, an earlier one listed": {[]listUpdate{
+			{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, time.Hour)}}, {Origin{2, 9}, ListWhole, ready(1, 2)}}, 0, sentToFormerIncarnation},
 	} {
-		j := toldRig()
+		checker := newConfirmedChecker()
 		for _, event := range c.events {
-			j.hear(0, event)
+			checker.apply(0, event)
 		}
-		if got := j.judgeSend(c.at, 1, 0); got != c.want {
+		if got := checker.checkSend(c.at, 1, 0); got != c.want {
 			t.Errorf("%s: a send %v, want: %v", name, got, c.want)
 		}
-		if started, in := j.inService(c.at, 1); in && started == 0 {
+		if started, required := checker.mustGetWork(c.at, 1); required && started == 0 {
 			t.Errorf("%s: the server would have to get work", name)
 		}
-		if got := j.judgeSend(0, 2, 0); got != keepsRules {
+		if got := checker.checkSend(0, 2, 0); got != noViolation {
 			t.Errorf("%s: a send to the other server: %v", name, got)
 		}
 	}
 }
 
 // It has to allow, and to call for, work of servers that are back.
-func TestLifecycleJudgeKnowsServersThatAreBack(t *testing.T) {
+func TestLifecycleCheckerRequiresWorkForReturnedServers(t *testing.T) {
 	later := ready(1, 1)[0]
-	later.Started = time.Hour
-	told := listEvent{Origin{1, 2}, ListDelta, []Entry{draining(1, 0)}}
+	later.StartedAt = time.Hour
+	told := listUpdate{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, 0)}}
 	for name, c := range map[string]struct {
-		events  []listEvent
+		events  []listUpdate
 		started time.Duration
 	}{
-		"a later version": {[]listEvent{told, {Origin{1, 3}, ListDelta, ready(1, 1)}}, 0},
-		"a later start, whoever tells it": {[]listEvent{
-			told, {Origin{2, 1}, ListMoved, nil}, {Origin{2, 1}, ListFull, []Entry{later, ready(2, 2)[0]}}}, time.Hour},
-		"a cut answer that a whole one corrects": {[]listEvent{
-			{Origin{1, 2}, ListLeaving, []Entry{draining(1, 0)}}, {Origin{1, 3}, ListFull, ready(1, 2)}}, 0},
-		"a cut answer, and changes that do not name it": {[]listEvent{
-			{Origin{1, 2}, ListLeaving, []Entry{draining(1, 0)}}, {Origin{1, 3}, ListDelta, nil}}, 0},
-		"an earlier version, and the present one again": {[]listEvent{
-			{Origin{1, 4}, ListFull, ready(1, 2)}, {Origin{1, 3}, ListOutdated, ready(2, 2)}, {Origin{1, 4}, ListDelta, nil}}, 0},
+		"a later version": {[]listUpdate{told, {Origin{1, 3}, ListChanges, ready(1, 1)}}, 0},
+		"a later start, whoever tells it": {[]listUpdate{
+			told, {Origin{2, 1}, ListAddressChanged, nil}, {Origin{2, 1}, ListWhole, []Entry{later, ready(2, 2)[0]}}}, time.Hour},
+		"a cut answer that a whole one corrects": {[]listUpdate{
+			{Origin{1, 2}, ListPartial, []Entry{drainingEntry(1, 0)}}, {Origin{1, 3}, ListWhole, ready(1, 2)}}, 0},
+		"a cut answer, and changes that do not name it": {[]listUpdate{
+			{Origin{1, 2}, ListPartial, []Entry{drainingEntry(1, 0)}}, {Origin{1, 3}, ListChanges, nil}}, 0},
+		"an earlier version, and the present one again": {[]listUpdate{
+			{Origin{1, 4}, ListWhole, ready(1, 2)}, {Origin{1, 3}, ListOutdated, ready(2, 2)}, {Origin{1, 4}, ListChanges, nil}}, 0},
 	} {
-		j := toldRig()
+		checker := newConfirmedChecker()
 		for _, event := range c.events {
-			j.hear(0, event)
+			checker.apply(0, event)
 		}
-		if got := j.judgeSend(0, 1, c.started); got != keepsRules {
+		if got := checker.checkSend(0, 1, c.started); got != noViolation {
 			t.Errorf("%s: a send: %v", name, got)
 		}
-		if started, in := j.inService(0, 1); !in || started != c.started {
-			t.Errorf("%s: start %v, in service %t", name, started, in)
+		if started, required := checker.mustGetWork(0, 1); !required || started != c.started {
+			t.Errorf("%s: start %v, in service %t", name, started, required)
 		}
 	}
 }
 
 // A server that another source lists in service is back once that source must have caught up, and answers.
-func TestLifecycleJudgeWaitsForSourcesThatLag(t *testing.T) {
-	for _, wait := range []time.Duration{catchUpMost - 1, catchUpMost} {
-		j := toldRig()
-		j.hear(0, listEvent{Origin{1, 2}, ListDelta, []Entry{draining(1, 0)}})
-		j.hear(0, listEvent{kind: ListMoved})
-		j.hear(0, listEvent{Origin{2, 9}, ListFull, ready(1, 2)})
-		j.hear(wait, listEvent{Origin{2, 9}, ListDelta, nil})
-		allowed := j.judgeSend(wait, 1, 0) == keepsRules
-		_, in := j.inService(wait, 1)
-		if caughtUp := wait >= catchUpMost; allowed != caughtUp || in != caughtUp {
-			t.Errorf("after %v: a send is allowed: %t, in service: %t", wait, allowed, in)
+func TestLifecycleCheckerWaitsForSourcesThatLag(t *testing.T) {
+	for _, wait := range []time.Duration{maxReplicaLag - 1, maxReplicaLag} {
+		checker := newConfirmedChecker()
+		checker.apply(0, listUpdate{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, 0)}})
+		checker.apply(0, listUpdate{kind: ListAddressChanged})
+		checker.apply(0, listUpdate{Origin{2, 9}, ListWhole, ready(1, 2)})
+		checker.apply(wait, listUpdate{Origin{2, 9}, ListChanges, nil})
+		allowed := checker.checkSend(wait, 1, 0) == noViolation
+		_, required := checker.mustGetWork(wait, 1)
+		if caughtUp := wait >= maxReplicaLag; allowed != caughtUp || required != caughtUp {
+			t.Errorf("after %v: a send is allowed: %t, in service: %t", wait, allowed, required)
 		}
 	}
 }
 
 // Nothing is sent by a kept list before its time.
-func TestLifecycleJudgeKnowsListsThatAreNotConfirmed(t *testing.T) {
-	for _, asked := range []bool{false, true} {
-		j := newLifecycleJudge(0, asked, beginsWithMove)
-		j.hear(0, listEvent{Origin{1, 1}, ListCached, ready(1, 2)})
-		if got := j.judgeSend(serveUnconfirmed-1, 1, 0); got != sentUnconfirmed {
-			t.Errorf("asked %t: a send before the list is confirmed: %v", asked, got)
+func TestLifecycleCheckerCatchesSendsByUnconfirmedLists(t *testing.T) {
+	for _, onRequest := range []bool{false, true} {
+		checker := newLifecycleChecker(0, onRequest, startsAtAddressChange)
+		checker.apply(0, listUpdate{Origin{1, 1}, ListCached, ready(1, 2)})
+		if got := checker.checkSend(maxConfirmationWait-1, 1, 0); got != sentUnconfirmed {
+			t.Errorf("asked %t: a send before the list is confirmed: %v", onRequest, got)
 		}
-		if caught := j.judgeSend(serveUnconfirmed, 1, 0) == sentUnconfirmed; caught == asked {
-			t.Errorf("asked %t: a send after %v is caught: %t", asked, serveUnconfirmed, caught)
+		if caught := checker.checkSend(maxConfirmationWait, 1, 0) == sentUnconfirmed; caught == onRequest {
+			t.Errorf("asked %t: a send after %v is caught: %t", onRequest, maxConfirmationWait, caught)
 		}
-		j.hear(0, listEvent{Origin{1, 1}, ListDelta, nil})
-		if got := j.judgeSend(0, 1, 0); got != keepsRules {
-			t.Errorf("asked %t: a send once it is confirmed: %v", asked, got)
+		checker.apply(0, listUpdate{Origin{1, 1}, ListChanges, nil})
+		if got := checker.checkSend(0, 1, 0); got != noViolation {
+			t.Errorf("asked %t: a send once it is confirmed: %v", onRequest, got)
 		}
 	}
 }
--- a/policy/lifecycle_model_test.go
+++ b/policy/lifecycle_model_test.go
@@ -16,104 +16,104 @@
 // After each step the real Balancer is sent requests, and lifecycleJudge judges what becomes of them.
 
 // serverWord is what discovery says of a server at some time.
-type serverWord struct {
-	state   State
-	started time.Duration
+type serverStatus struct {
+	state     ServerState
+	startedAt time.Duration
 }
 
 // firstWord is what discovery says of each server at first. All starts are dated: a line without a date that takes
 // a server out may be about any start, and counts.
-var firstWord = serverWord{state: Ready, started: lifeSpan}
+var initialStatus = serverStatus{state: StateInService, startedAt: restartInterval}
 
 // snapshot is what discovery says of all servers.
-type snapshot [lifecycleServers]serverWord
+type snapshot [lifecycleServers]serverStatus
 
 // lifeChange is a change of one server's life that discovery tells.
-type lifeChange struct {
+type serverChange struct {
 	server int // 0: none
-	kind   lifeChangeKind
+	kind   serverChangeKind
 }
 
-type lifeChangeKind uint8
+type serverChangeKind uint8
 
 const (
-	drains lifeChangeKind = iota
-	leaves
-	comesBack
-	startsAgain
+	changeDrain serverChangeKind = iota
+	changeRemove
+	changeReturn
+	changeRestart
 )
 
-var lifeChangeNames = [...]string{drains: "drains", leaves: "leaves", comesBack: "is in service again", startsAgain: "starts again"}
+var serverChangeNames = [...]string{changeDrain: "drains", changeRemove: "leaves", changeReturn: "is in service again", changeRestart: "starts again"}
 
 // lifeSpan is the time between two starts of a server, as lists tell it.
-const lifeSpan = time.Minute
+const restartInterval = time.Minute
 
 // after gives what discovery says once a change is made. It tells whether the change can be made.
-func (s snapshot) after(made lifeChange) (snapshot, bool) {
-	word := &s[made.server-1]
-	switch made.kind {
-	case drains:
-		possible := word.state == Ready
-		word.state = Draining
+func (s snapshot) with(change serverChange) (snapshot, bool) {
+	status := &s[change.server-1]
+	switch change.kind {
+	case changeDrain:
+		possible := status.state == StateInService
+		status.state = StateDraining
 		return s, possible
-	case leaves:
-		possible := word.state != Gone
-		word.state = Gone
+	case changeRemove:
+		possible := status.state != StateGone
+		status.state = StateGone
 		return s, possible
-	case comesBack:
-		possible := word.state != Ready
-		word.state = Ready
+	case changeReturn:
+		possible := status.state != StateInService
+		status.state = StateInService
 		return s, possible
 	}
-	word.state, word.started = Ready, word.started+lifeSpan
+	status.state, status.startedAt = StateInService, status.startedAt+restartInterval
 	return s, true
 }
 
 // line gives the line of a server, by its number from 1.
-func (s snapshot) line(server int) Entry {
-	word := s[server-1]
-	return Entry{Server: ServerID(server), State: word.state, Started: word.started, Weight: 1}
+func (s snapshot) entry(server int) Entry {
+	status := s[server-1]
+	return Entry{Server: ServerID(server), State: status.state, StartedAt: status.startedAt, Weight: 1}
 }
 
 // replica is one source of the list. It has what discovery said up to a position of the history, and counts
 // positions by a number of its own.
 type replica struct {
-	position int
-	first    int64 // the version of position 0
+	position     int
+	firstVersion int64 // the version of position 0
 }
 
-func (r replica) version(position int) int64 { return r.first + int64(position) }
+func (r replica) version(position int) int64 { return r.firstVersion + int64(position) }
 
 // stepKind is a kind of what may happen to a node.
 type stepKind uint8
 
 const (
-	full        stepKind = iota // a whole answer that is no older than the last one
-	changes                     // changes since the last answer
-	repeated                    // the last changes once more
-	outdated                    // a whole list of an earlier version
-	cut                         // lines of an answer that is not whole, up to the first one,
-	spoilt                      // or all of them,
-	unversioned                 // or those whose version is not known yet: it is later than the last answer's
-	lastWords                   // lines of an answer of the other source, to a call from before the move
-	lagging                     // the whole list of an earlier version, asked for anew
-	countsAnew                  // the same, from a source that counts its versions anew
-	moves                       // a new configuration names the other source,
-	reloads                     // or the same one again
-	fails                       // a call for the list comes to nothing
-	restarts                    // the node starts again with its latest list,
-	restartsOld                 // or with one from long ago
-	waitsShort
-	waitsLong
-	waitsToServe
+	stepWholeList           stepKind = iota // a whole answer that is no older than the last one
+	stepChanges                             // changes since the last answer
+	stepRepeatedChanges                     // the last changes once more
+	stepOutdatedList                        // a whole list of an earlier version
+	stepCutAnswer                           // lines of an answer that is not whole, up to the first one,
+	stepUnusableAnswer                      // or all of them,
+	stepUnversionedEntries                  // or those whose version is not known yet: it is later than the last answer's
+	stepFormerSourceEntries                 // lines of an answer of the other source, to a call from before the move
+	stepLaggingList                         // the whole list of an earlier version, asked for anew
+	stepVersionsRestart                     // the same, from a source that counts its versions anew
+	stepAddressChange                       // a new configuration names the other source,
+	stepReload                              // or the same one again
+	stepFailedCall                          // a call for the list comes to nothing
+	stepRestart                             // the node starts again with its latest list,
+	stepRestartWithOldList                  // or with one from long ago
+	stepShortWait
+	stepLongWait
+	stepConfirmationWait
 )
 
 var stepNames = [...]string{
-	full: "whole list", changes: "changes up to", repeated: "changes once more up to", outdated: "outdated list",
-	cut: "answer cut behind its first line", spoilt: "answer that can't be taken",
-	unversioned: "lines with no version yet", lastWords: "lines of the former source", lagging: "whole list that lags",
-	countsAnew: "whole list, counted anew", moves: "new address", reloads: "the same address again", fails: "failed call", restarts: "restart",
-	restartsOld: "restart with an old list", waitsShort: "short wait", waitsLong: "long wait", waitsToServe: "wait to serve",
+	stepWholeList: "whole list", stepChanges: "changes up to", stepRepeatedChanges: "changes once more up to", stepOutdatedList: "outdated list",
+	stepCutAnswer: "answer cut behind its first line", stepUnusableAnswer: "answer that can't be taken",
+	stepUnversionedEntries: "lines with no version yet", stepFormerSourceEntries: "lines of the former source", stepLaggingList: "whole list that lags",
+	stepVersionsRestart: "whole list, counted anew", stepAddressChange: "new address", stepReload: "the same address again", stepFailedCall: "failed call", stepRestart: "restart",
+	stepRestartWithOldList: "restart with an old list", stepShortWait: "short wait", stepLongWait: "long wait", stepConfirmationWait: "wait to serve",
 }
 
 // step is something that happens to a node. What an answer tells is that of a position of the history; a
@@ -121,16 +121,16 @@
 type step struct {
 	kind     stepKind
 	position int
-	said     lifeChange
+	change   serverChange
 }
 
 func (s step) String() string {
 	text := stepNames[s.kind]
-	if s.kind <= countsAnew {
+	if s.kind <= stepVersionsRestart {
 		text += fmt.Sprintf(" %d", s.position)
 	}
-	if s.said.server > 0 {
-		text += fmt.Sprintf(" (server %d %s)", s.said.server, lifeChangeNames[s.said.kind])
+	if s.change.server > 0 {
+		text += fmt.Sprintf(" (server %d %s)", s.change.server, serverChangeNames[s.change.kind])
 	}
 	return text
 }
@@ -138,151 +138,151 @@
 // scenario bounds what is explored.
 type scenario struct {
 	name         string
-	asked        bool // nodes have to ask for the list
+	onRequest    bool // nodes have to ask for the list
 	unconfirmed  bool // the exploration begins before the first answer
 	omitDraining bool // whole lists leave out servers that drain
 	steps        []stepKind
-	said         []lifeChange
-	saidMost     int
-	depth        int
+	changes      []serverChange
+	maxChanges   int
+	maxDepth     int
 }
 
 // lifecycleModel is discovery and what a node has heard of it, with the run of the real Balancer.
 type lifecycleModel struct {
 	scenario
-	run      *lifecycleRun
-	history  []snapshot
-	sources  [2]replica
-	present  int  // the source that the node follows
-	answered bool // by it, so that changes may follow
-	moved    bool // the other source was followed before
+	run             *lifecycleRun
+	history         []snapshot
+	sources         [2]replica
+	followed        int  // the source that the node follows
+	answered        bool // by it, so that changes may follow
+	hasFormerSource bool // the other source was followed before
 }
 
 func newLifecycleModel(s scenario, mutation mutation) *lifecycleModel {
 	m := &lifecycleModel{
-		scenario: s, run: newLifecycleRun(s.asked, mutation),
-		history: []snapshot{{firstWord, firstWord}}, sources: [2]replica{{first: 1}, {first: 1}},
+		scenario: s, run: newLifecycleRun(s.onRequest, mutation),
+		history: []snapshot{{initialStatus, initialStatus}}, sources: [2]replica{{firstVersion: 1}, {firstVersion: 1}},
 	}
 	m.restart(0)
 	if !s.unconfirmed {
-		m.answer(ListFull, 0)
+		m.answer(ListWhole, 0)
 	}
 	return m
 }
 
 // take makes a step.
-func (m *lifecycleModel) take(s step) {
-	if s.said.server > 0 {
-		next, _ := m.history[len(m.history)-1].after(s.said)
+func (m *lifecycleModel) perform(s step) {
+	if s.change.server > 0 {
+		next, _ := m.history[len(m.history)-1].with(s.change)
 		m.history = append(m.history, next)
 	}
 	switch s.kind {
-	case full, lagging:
-		m.answer(ListFull, s.position)
-	case changes:
-		m.answer(ListDelta, s.position)
-	case repeated:
-		m.hear(ListDelta, s.position, m.changed(0, s.position))
-	case outdated:
-		m.hear(ListOutdated, s.position, m.whole(s.position))
-	case cut:
-		m.hear(ListLeaving, s.position, m.lines(s.position)[:1])
-	case spoilt:
-		m.hear(ListLeaving, s.position, m.lines(s.position))
-	case unversioned:
-		m.run.hear(listEvent{m.origin(m.sources[m.present].position + 1), ListLeaving, m.lines(s.position)})
-	case lastWords:
-		former := Origin{Source: SourceID(2 - m.present), Version: m.sources[1-m.present].version(s.position)}
-		m.run.hear(listEvent{former, ListLeaving, m.lines(s.position)})
-	case countsAnew:
-		m.sources[m.present].first = 1 - int64(s.position)
-		m.answer(ListFull, s.position)
-	case moves:
-		m.present, m.answered, m.moved = 1-m.present, false, true
-		m.run.hear(listEvent{kind: ListMoved})
-	case reloads:
+	case stepWholeList, stepLaggingList:
+		m.answer(ListWhole, s.position)
+	case stepChanges:
+		m.answer(ListChanges, s.position)
+	case stepRepeatedChanges:
+		m.deliver(ListChanges, s.position, m.changedEntries(0, s.position))
+	case stepOutdatedList:
+		m.deliver(ListOutdated, s.position, m.wholeList(s.position))
+	case stepCutAnswer:
+		m.deliver(ListPartial, s.position, m.entries(s.position)[:1])
+	case stepUnusableAnswer:
+		m.deliver(ListPartial, s.position, m.entries(s.position))
+	case stepUnversionedEntries:
+		m.run.deliver(listUpdate{m.origin(m.sources[m.followed].position + 1), ListPartial, m.entries(s.position)})
+	case stepFormerSourceEntries:
+		former := Origin{Source: SourceID(2 - m.followed), Version: m.sources[1-m.followed].version(s.position)}
+		m.run.deliver(listUpdate{former, ListPartial, m.entries(s.position)})
+	case stepVersionsRestart:
+		m.sources[m.followed].firstVersion = 1 - int64(s.position)
+		m.answer(ListWhole, s.position)
+	case stepAddressChange:
+		m.followed, m.answered, m.hasFormerSource = 1-m.followed, false, true
+		m.run.deliver(listUpdate{kind: ListAddressChanged})
+	case stepReload:
 		m.answered = false
-		m.run.hear(listEvent{kind: ListMoved})
-	case fails:
-		m.run.hear(listEvent{kind: ListFailed})
-	case restarts:
-		m.restart(m.sources[m.present].position)
-	case restartsOld:
+		m.run.deliver(listUpdate{kind: ListAddressChanged})
+	case stepFailedCall:
+		m.run.deliver(listUpdate{kind: ListFailed})
+	case stepRestart:
+		m.restart(m.sources[m.followed].position)
+	case stepRestartWithOldList:
 		m.restart(0)
-	case waitsShort:
+	case stepShortWait:
 		m.run.wait(shortWait)
-	case waitsLong:
+	case stepLongWait:
 		m.run.wait(longWait)
-	case waitsToServe:
-		m.run.wait(confirmWait)
+	case stepConfirmationWait:
+		m.run.wait(confirmationWait)
 	}
 }
 
 // origin is that of what the present source tells of a position.
 func (m *lifecycleModel) origin(position int) Origin {
-	return Origin{Source: SourceID(m.present + 1), Version: m.sources[m.present].version(position)}
+	return Origin{Source: SourceID(m.followed + 1), Version: m.sources[m.followed].version(position)}
 }
 
-func (m *lifecycleModel) hear(kind ListKind, position int, entries []Entry) {
-	m.run.hear(listEvent{origin: m.origin(position), kind: kind, entries: entries})
+func (m *lifecycleModel) deliver(kind ListKind, position int, entries []Entry) {
+	m.run.deliver(listUpdate{origin: m.origin(position), kind: kind, entries: entries})
 }
 
 // answer has the present source answer whole.
 func (m *lifecycleModel) answer(kind ListKind, position int) {
-	entries := m.whole(position)
-	if kind == ListDelta {
-		entries = m.changed(m.sources[m.present].position, position)
+	entries := m.wholeList(position)
+	if kind == ListChanges {
+		entries = m.changedEntries(m.sources[m.followed].position, position)
 	}
-	m.sources[m.present].position, m.answered = position, true
-	m.hear(kind, position, entries)
+	m.sources[m.followed].position, m.answered = position, true
+	m.deliver(kind, position, entries)
 }
 
 // restart starts a process with the list of a position. Where nodes ask, changes to it may follow.
 func (m *lifecycleModel) restart(position int) {
-	m.sources[m.present].position, m.answered = position, m.asked
-	m.run.restart(listEvent{origin: m.origin(position), kind: ListCached, entries: m.whole(position)})
+	m.sources[m.followed].position, m.answered = position, m.onRequest
+	m.run.restart(listUpdate{origin: m.origin(position), kind: ListCached, entries: m.wholeList(position)})
 }
 
 // whole gives the whole list of a position.
-func (m *lifecycleModel) whole(position int) []Entry {
-	return slices.DeleteFunc(m.lines(position), func(e Entry) bool {
-		return e.State == Gone || e.State == Draining && m.omitDraining
+func (m *lifecycleModel) wholeList(position int) []Entry {
+	return slices.DeleteFunc(m.entries(position), func(e Entry) bool {
+		return e.State == StateGone || e.State == StateDraining && m.omitDraining
 	})
 }
 
 // lines gives the lines of all servers at a position, be they listed then or not.
-func (m *lifecycleModel) lines(position int) []Entry {
-	var lines []Entry
+func (m *lifecycleModel) entries(position int) []Entry {
+	var entries []Entry
 	for server := 1; server <= lifecycleServers; server++ {
-		lines = append(lines, m.history[position].line(server))
+		entries = append(entries, m.history[position].entry(server))
 	}
-	return lines
+	return entries
 }
 
 // changed gives the lines that have changed between two positions.
-func (m *lifecycleModel) changed(from, to int) []Entry {
-	var lines []Entry
+func (m *lifecycleModel) changedEntries(from, to int) []Entry {
+	var entries []Entry
 	for server := 1; server <= lifecycleServers; server++ {
 		for position := from + 1; position <= to; position++ {
 			if m.history[position][server-1] != m.history[position-1][server-1] {
-				lines = append(lines, m.history[to].line(server))
+				entries = append(entries, m.history[to].entry(server))
 				break
 			}
 		}
 	}
-	return lines
+	return entries
 }
 
 // next gives all steps that may follow.
-func (m *lifecycleModel) next() []step {
+func (m *lifecycleModel) nextSteps() []step {
 	var all []step
 	for _, kind := range m.steps {
-		first, last, news := m.positions(kind)
+		first, last, mayBeNew := m.positions(kind)
 		for position := first; position <= last; position++ {
 			all = append(all, step{kind: kind, position: position})
 		}
-		if news && len(m.history) <= m.saidMost {
-			all = append(all, m.withChanges(kind)...)
+		if mayBeNew && len(m.history) <= m.maxChanges {
+			all = append(all, m.stepsWithChange(kind)...)
 		}
 	}
 	return all
@@ -290,39 +290,39 @@
 
 // positions gives the positions of the history that a step may tell, and whether it may tell what
 // discovery says only then. A step that tells nothing has one position, 0.
-func (m *lifecycleModel) positions(kind stepKind) (first, last int, news bool) {
+func (m *lifecycleModel) positions(kind stepKind) (first, last int, mayBeNew bool) {
 	const none = -1
-	at, head := m.sources[m.present].position, len(m.history)-1
+	current, latest := m.sources[m.followed].position, len(m.history)-1
 	switch kind {
-	case full:
-		return at, head, true
-	case changes:
+	case stepWholeList:
+		return current, latest, true
+	case stepChanges:
 		if m.answered {
-			return at, head, true
+			return current, latest, true
 		}
 		return 0, none, false
-	case repeated:
-		if m.answered && at > 0 {
-			return at, at, false
+	case stepRepeatedChanges:
+		if m.answered && current > 0 {
+			return current, current, false
 		}
 		return 0, none, false
-	case outdated, lagging:
+	case stepOutdatedList, stepLaggingList:
 		if m.answered {
-			return 0, at - 1, false
+			return 0, current - 1, false
 		}
 		return 0, none, false
-	case cut, spoilt:
-		return 1, head, true
-	case lastWords:
-		if m.moved {
-			return 1, head, true
+	case stepCutAnswer, stepUnusableAnswer:
+		return 1, latest, true
+	case stepFormerSourceEntries:
+		if m.hasFormerSource {
+			return 1, latest, true
 		}
 		return 0, none, false
-	case unversioned:
-		return at + 1, head, true
-	case countsAnew:
-		if m.answered && m.sources[m.present].version(at) > 1 {
-			return 0, head, true
+	case stepUnversionedEntries:
+		return current + 1, latest, true
+	case stepVersionsRestart:
+		if m.answered && m.sources[m.followed].version(current) > 1 {
+			return 0, latest, true
 		}
 		return 0, none, false
 	}
@@ -330,58 +330,58 @@
 }
 
 // withChanges gives the steps of a kind that tell something new.
-func (m *lifecycleModel) withChanges(kind stepKind) []step {
+func (m *lifecycleModel) stepsWithChange(kind stepKind) []step {
 	var all []step
-	head := len(m.history) - 1
-	for _, made := range m.said {
-		if _, possible := m.history[head].after(made); possible {
-			all = append(all, step{kind: kind, position: head + 1, said: made})
+	latest := len(m.history) - 1
+	for _, change := range m.changes {
+		if _, possible := m.history[latest].with(change); possible {
+			all = append(all, step{kind: kind, position: latest + 1, change: change})
 		}
 	}
 	return all
 }
 
 // state gives a digest of all that what follows rests on.
-func (m *lifecycleModel) state() [sha256.Size]byte {
+func (m *lifecycleModel) digest() [sha256.Size]byte {
 	var text strings.Builder
-	fmt.Fprint(&text, m.history, m.sources, m.present, m.answered, m.moved, "|")
-	m.run.state(&text)
+	fmt.Fprint(&text, m.history, m.sources, m.followed, m.answered, m.hasFormerSource, "|")
+	m.run.writeState(&text)
 	return sha256.Sum256([]byte(text.String()))
 }
 
 // exploration plays the paths of a scenario.
 type exploration struct {
 	scenario
-	mutate func() mutation // for each path anew
-	enough func(broken []brokenPath) bool
-	apart  bool // paths are gone on with also where they lead to equal states
+	newMutation    func() mutation // for each path anew
+	isEnough       func(broken []violatingPath) bool
+	withoutMerging bool // paths are gone on with also where they lead to equal states
 
-	paths  int // that were played, each with requests after each step
-	states int // that were gone on with
-	broken []brokenPath
+	paths     int // that were played, each with requests after each step
+	states    int // that were gone on with
+	violating []violatingPath
 }
 
 // brokenPath is a path at whose end a rule is broken.
-type brokenPath struct {
-	path   []step
-	broken []ruleBreak
+type violatingPath struct {
+	path       []step
+	violations []ruleViolation
 }
 
-func (b brokenPath) String() string {
-	text := fmt.Sprint(b.path)
-	for _, rule := range b.broken {
-		text += "\n\t" + rule.String()
+func (p violatingPath) String() string {
+	text := fmt.Sprint(p.path)
+	for _, violation := range p.violations {
+		text += "\n\t" + violation.String()
 	}
 	return text
 }
 
 // breaks tells whether a rule is broken in a way.
-func (b brokenPath) breaks(kind breakKind) bool {
-	return slices.ContainsFunc(b.broken, func(rule ruleBreak) bool { return rule.kind == kind })
+func (p violatingPath) violates(kind violationKind) bool {
+	return slices.ContainsFunc(p.violations, func(violation ruleViolation) bool { return violation.kind == kind })
 }
 
 // brokenMost bounds the broken paths of a scenario that are told; the first ones are the shortest.
-const brokenMost = 5
+const maxReportedPaths = 5
 
 // explore plays all paths up to the scenario's depth, or until enough are broken. Of paths that lead to
 // equal states one is gone on with.
@@ -389,22 +389,22 @@
 	seen := map[[sha256.Size]byte]struct{}{}
 	defer func() { e.states = len(seen) }()
 	frontier := [][]step{nil}
-	for depth := 0; depth <= e.depth && len(frontier) > 0; depth++ {
+	for depth := 0; depth <= e.maxDepth && len(frontier) > 0; depth++ {
 		var longer [][]step
 		for _, path := range frontier {
-			m := e.play(path)
-			if e.enough(e.broken) {
+			m := e.replay(path)
+			if e.isEnough(e.violating) {
 				return
 			}
-			if len(m.run.broken) > 0 || depth == e.depth {
+			if len(m.run.violations) > 0 || depth == e.maxDepth {
 				continue
 			}
-			state := m.state()
-			if _, known := seen[state]; known && !e.apart {
+			state := m.digest()
+			if _, known := seen[state]; known && !e.withoutMerging {
 				continue
 			}
 			seen[state] = struct{}{}
-			for _, following := range m.next() {
+			for _, following := range m.nextSteps() {
 				longer = append(longer, append(slices.Clip(path), following))
 			}
 		}
@@ -413,73 +413,73 @@
 }
 
 // play plays a path from the start.
-func (e *exploration) play(path []step) *lifecycleModel {
-	m := newLifecycleModel(e.scenario, e.mutate())
+func (e *exploration) replay(path []step) *lifecycleModel {
+	m := newLifecycleModel(e.scenario, e.newMutation())
 	for _, taken := range path {
-		m.take(taken)
+		m.perform(taken)
 	}
 	e.paths++
-	if len(m.run.broken) > 0 {
-		e.broken = append(e.broken, brokenPath{path, m.run.broken})
+	if len(m.run.violations) > 0 {
+		e.violating = append(e.violating, violatingPath{path, m.run.violations})
 	}
 	return m
 }
 
 // The changes that discovery tells in the scenarios.
 var (
-	firstServer  = []lifeChange{{1, drains}, {1, leaves}, {1, comesBack}, {1, startsAgain}}
-	drainOrBack  = []lifeChange{{1, drains}, {1, comesBack}, {1, startsAgain}}
-	bothServers  = []lifeChange{{1, drains}, {1, comesBack}, {1, startsAgain}, {2, leaves}, {2, comesBack}}
-	partialSteps = []stepKind{outdated, cut, spoilt, unversioned}
+	firstServerChanges    = []serverChange{{1, changeDrain}, {1, changeRemove}, {1, changeReturn}, {1, changeRestart}}
+	drainAndReturnChanges = []serverChange{{1, changeDrain}, {1, changeReturn}, {1, changeRestart}}
+	bothServersChanges    = []serverChange{{1, changeDrain}, {1, changeReturn}, {1, changeRestart}, {2, changeRemove}, {2, changeReturn}}
+	partialSteps          = []stepKind{stepOutdatedList, stepCutAnswer, stepUnusableAnswer, stepUnversionedEntries}
 )
 
 // scenarios are what is explored. Together they have all kinds of steps; each is as deep as its time allows.
 var scenarios = []scenario{
 	{
-		name: "one source", asked: true, said: firstServer, saidMost: 3, depth: 4,
-		steps: []stepKind{full, changes, repeated, outdated, cut, spoilt, lagging, countsAnew, waitsShort, waitsLong},
+		name: "one source", onRequest: true, changes: firstServerChanges, maxChanges: 3, maxDepth: 4,
+		steps: []stepKind{stepWholeList, stepChanges, stepRepeatedChanges, stepOutdatedList, stepCutAnswer, stepUnusableAnswer, stepLaggingList, stepVersionsRestart, stepShortWait, stepLongWait},
 	},
 	{
-		name: "one source, pushed, lists without draining servers", omitDraining: true, said: firstServer, saidMost: 3, depth: 4,
-		steps: []stepKind{full, changes, outdated, spoilt, lagging, countsAnew, waitsShort, waitsLong},
+		name: "one source, pushed, lists without draining servers", omitDraining: true, changes: firstServerChanges, maxChanges: 3, maxDepth: 4,
+		steps: []stepKind{stepWholeList, stepChanges, stepOutdatedList, stepUnusableAnswer, stepLaggingList, stepVersionsRestart, stepShortWait, stepLongWait},
 	},
 	{
-		name: "two sources", asked: true, said: drainOrBack, saidMost: 3, depth: 6,
-		steps: []stepKind{full, moves, reloads, waitsShort, waitsLong},
+		name: "two sources", onRequest: true, changes: drainAndReturnChanges, maxChanges: 3, maxDepth: 6,
+		steps: []stepKind{stepWholeList, stepAddressChange, stepReload, stepShortWait, stepLongWait},
 	},
 	{
-		name: "two sources, partial answers", asked: true, said: drainOrBack, saidMost: 2, depth: 5,
-		steps: append([]stepKind{full, changes, moves, lastWords, waitsShort, waitsLong}, partialSteps...),
+		name: "two sources, partial answers", onRequest: true, changes: drainAndReturnChanges, maxChanges: 2, maxDepth: 5,
+		steps: append([]stepKind{stepWholeList, stepChanges, stepAddressChange, stepFormerSourceEntries, stepShortWait, stepLongWait}, partialSteps...),
 	},
 	{
-		name: "two servers", asked: true, said: bothServers, saidMost: 2, depth: 5,
-		steps: append([]stepKind{full, changes, repeated, moves, waitsLong}, partialSteps...),
+		name: "two servers", onRequest: true, changes: bothServersChanges, maxChanges: 2, maxDepth: 5,
+		steps: append([]stepKind{stepWholeList, stepChanges, stepRepeatedChanges, stepAddressChange, stepLongWait}, partialSteps...),
 	},
 	{
-		name: "restarts, asked", asked: true, unconfirmed: true, said: drainOrBack, saidMost: 2, depth: 5,
-		steps: []stepKind{full, changes, cut, moves, fails, restarts, restartsOld, waitsShort, waitsToServe},
+		name: "restarts, asked", onRequest: true, unconfirmed: true, changes: drainAndReturnChanges, maxChanges: 2, maxDepth: 5,
+		steps: []stepKind{stepWholeList, stepChanges, stepCutAnswer, stepAddressChange, stepFailedCall, stepRestart, stepRestartWithOldList, stepShortWait, stepConfirmationWait},
 	},
 	{
-		name: "restarts, pushed", unconfirmed: true, said: drainOrBack, saidMost: 2, depth: 5,
-		steps: []stepKind{full, changes, cut, moves, fails, restarts, restartsOld, waitsLong},
+		name: "restarts, pushed", unconfirmed: true, changes: drainAndReturnChanges, maxChanges: 2, maxDepth: 5,
+		steps: []stepKind{stepWholeList, stepChanges, stepCutAnswer, stepAddressChange, stepFailedCall, stepRestart, stepRestartWithOldList, stepLongWait},
 	},
 }
 
 // Guards the rule on drains, and that no server is left out for ever, under all that may befall a node and
 // its list.
-func TestLivesOfServersInAllOrdersOfEvents(t *testing.T) {
+func TestServerLifecyclesInAllOrdersOfEvents(t *testing.T) {
 	paths, states := 0, 0
 	for _, s := range scenarios {
 		began := time.Now()
 		found := exploration{
-			scenario: s, mutate: func() mutation { return mutation{} },
-			enough: func(broken []brokenPath) bool { return len(broken) >= brokenMost },
+			scenario: s, newMutation: func() mutation { return mutation{} },
+			isEnough: func(violating []violatingPath) bool { return len(violating) >= maxReportedPaths },
 		}
 		found.explore()
 		paths, states = paths+found.paths, states+found.states
-		t.Logf("%s: %d paths of up to %d steps, over %d states, %v", s.name, found.paths, s.depth, found.states, time.Since(began).Round(time.Millisecond))
-		for _, broken := range found.broken {
-			t.Errorf("%s: %v", s.name, broken)
+		t.Logf("%s: %d paths of up to %d steps, over %d states, %v", s.name, found.paths, s.maxDepth, found.states, time.Since(began).Round(time.Millisecond))
+		for _, violating := range found.violating {
+			t.Errorf("%s: %v", s.name, violating)
 		}
 	}
 	t.Logf("%d paths over %d states in all", paths, states)
--- a/policy/lifecycle_mutation_test.go
+++ b/policy/lifecycle_mutation_test.go
@@ -7,8 +7,8 @@
 )
 
 // always gives a mutation that changes events in a way.
-func always(change func(event *listEvent)) mutation {
-	return mutation{event: func(event listEvent) listEvent {
+func changeEachUpdate(change func(event *listUpdate)) mutation {
+	return mutation{changeUpdate: func(event listUpdate) listUpdate {
 		event.entries = slices.Clone(event.entries)
 		change(&event)
 		return event
@@ -16,13 +16,13 @@
 }
 
 // lastWordCounts is a node that takes each list as the latest word, as the release before tombstones did.
-func lastWordCounts() mutation {
+func latestUpdateWins() mutation {
 	version := int64(0)
-	return always(func(event *listEvent) {
+	return changeEachUpdate(func(event *listUpdate) {
 		version++
 		event.origin = Origin{Source: 1, Version: version}
 		if event.kind == ListOutdated {
-			event.kind = ListFull
+			event.kind = ListWhole
 		}
 	})
 }
@@ -32,122 +32,122 @@
 	name     string
 	scenario string
 	mutation func() mutation
-	want     breakKind
+	want     violationKind
 }{
-	{"the last word counts", "one source", lastWordCounts, sentToOut},
-	{"the last word counts", "two sources", lastWordCounts, sentToOut},
-	{"the last word counts, also of a former start", "two sources", lastWordCounts, sentToFormerStart},
+	{"the last word counts", "one source", latestUpdateWins, sentToOutOfService},
+	{"the last word counts", "two sources", latestUpdateWins, sentToOutOfService},
+	{"the last word counts, also of a former start", "two sources", latestUpdateWins, sentToFormerIncarnation},
 	{"all sources are one", "two sources", func() mutation {
-		return always(func(event *listEvent) { event.origin.Source = 1 })
-	}, sentToOut},
+		return changeEachUpdate(func(event *listUpdate) { event.origin.Source = 1 })
+	}, sentToOutOfService},
 	{"starts are not told apart", "two sources", func() mutation {
-		return always(func(event *listEvent) {
+		return changeEachUpdate(func(event *listUpdate) {
 			for i := range event.entries {
-				event.entries[i].Started = 0
+				event.entries[i].StartedAt = 0
 			}
 		})
-	}, sentToFormerStart},
+	}, sentToFormerIncarnation},
 	{"lines of answers that are not whole are dropped", "two sources, partial answers", func() mutation {
-		return always(func(event *listEvent) {
-			if event.kind == ListLeaving {
+		return changeEachUpdate(func(event *listUpdate) {
+			if event.kind == ListPartial {
 				event.entries = nil
 			}
 		})
-	}, notWithdrawn},
+	}, notCancelledOutOfService},
 	{"what an earlier list does not name stays", "one source", func() mutation {
-		return always(func(event *listEvent) {
+		return changeEachUpdate(func(event *listUpdate) {
 			if event.kind == ListOutdated {
-				event.kind = ListLeaving
+				event.kind = ListPartial
 			}
 		})
-	}, sentToOut},
+	}, sentToOutOfService},
 	{"what a whole list does not name stays", "one source", func() mutation {
-		return always(func(event *listEvent) {
-			if event.kind == ListFull {
-				event.kind = ListDelta
+		return changeEachUpdate(func(event *listUpdate) {
+			if event.kind == ListWhole {
+				event.kind = ListChanges
 			}
 		})
-	}, sentToOut},
+	}, sentToOutOfService},
 	{"each answer comes from a source of its own", "one source", func() mutation {
 		source := SourceID(0)
-		return always(func(event *listEvent) {
+		return changeEachUpdate(func(event *listUpdate) {
 			source++
 			event.origin.Source = source
 		})
-	}, getsNoWork},
+	}, inServiceWithoutWork},
 	{"whole answers count in part", "one source", func() mutation {
-		return always(func(event *listEvent) {
-			if event.kind == ListDelta {
-				event.kind = ListLeaving
+		return changeEachUpdate(func(event *listUpdate) {
+			if event.kind == ListChanges {
+				event.kind = ListPartial
 			}
 		})
-	}, getsNoWork},
+	}, inServiceWithoutWork},
 	{"servers that start are left out", "two sources", func() mutation {
-		return always(func(event *listEvent) {
-			event.entries = slices.DeleteFunc(event.entries, func(e Entry) bool { return e.Started > 0 })
+		return changeEachUpdate(func(event *listUpdate) {
+			event.entries = slices.DeleteFunc(event.entries, func(e Entry) bool { return e.StartedAt > 0 })
 		})
-	}, getsNoWork},
+	}, inServiceWithoutWork},
 	{"each line of an answer that is not whole counts as leaving", "one source", func() mutation {
-		return always(func(event *listEvent) {
+		return changeEachUpdate(func(event *listUpdate) {
 			for i := range event.entries {
-				if event.kind == ListLeaving {
-					event.entries[i].State = Draining
+				if event.kind == ListPartial {
+					event.entries[i].State = StateDraining
 				}
 			}
 		})
-	}, withdrawnInService},
+	}, cancelledInService},
 	{"a kept list counts as confirmed", "restarts, pushed", func() mutation {
-		return always(func(event *listEvent) {
+		return changeEachUpdate(func(event *listUpdate) {
 			if event.kind == ListCached {
-				event.kind = ListFull
+				event.kind = ListWhole
 			}
 		})
 	}, sentUnconfirmed},
 	{"a kept list counts as confirmed", "restarts, asked", func() mutation {
-		return always(func(event *listEvent) {
+		return changeEachUpdate(func(event *listUpdate) {
 			if event.kind == ListCached {
-				event.kind = ListFull
+				event.kind = ListWhole
 			}
 		})
 	}, sentUnconfirmed},
 	{"attempts go on at servers that leave", "one source", func() mutation {
-		return mutation{ignoresWithdrawals: true}
-	}, notWithdrawn},
+		return mutation{ignoresCancelUnsent: true}
+	}, notCancelledOutOfService},
 }
 
 // scenarioOf gives the scenario of a name.
-func scenarioOf(name string) scenario {
+func scenarioNamed(name string) scenario {
 	return scenarios[slices.IndexFunc(scenarios, func(s scenario) bool { return s.name == name })]
 }
 
 // The model has to find what breaks a rule, or it proves nothing.
 func TestLifecycleModelFindsMutations(t *testing.T) {
 	for _, c := range lifecycleMutations {
-		finds := func(broken []brokenPath) bool {
-			return len(broken) > 0 && broken[len(broken)-1].breaks(c.want)
+		finds := func(broken []violatingPath) bool {
+			return len(broken) > 0 && broken[len(broken)-1].violates(c.want)
 		}
-		e := exploration{scenario: scenarioOf(c.scenario), mutate: c.mutation, enough: finds}
+		e := exploration{scenario: scenarioNamed(c.scenario), newMutation: c.mutation, isEnough: finds}
 		e.explore()
-		if !finds(e.broken) {
+		if !finds(e.violating) {
 			t.Errorf("%s (%s): not found in %d paths: %v", c.name, c.scenario, e.paths, c.want)
 			continue
 		}
-		t.Logf("%s (%s): found by path %d of the exploration: %v", c.name, c.scenario, e.paths, e.broken[len(e.broken)-1])
+		t.Logf("%s (%s): found by path %d of the exploration: %v", c.name, c.scenario, e.paths, e.violating[len(e.violating)-1])
 	}
 }
 
 // Paths that lead to equal states are merged. With faults in place, what is found must be the same without.
 func TestLifecycleModelFindsTheSameWithoutMerging(t *testing.T) {
 	const depth = 3
-	all := func([]brokenPath) bool { return false }
+	all := func([]violatingPath) bool { return false }
 	for _, name := range []string{"two sources", "two servers", "restarts, asked"} {
-		s := scenarioOf(name)
-		s.depth = depth
-		merged := exploration{scenario: s, mutate: lastWordCounts, enough: all}
-		apart := exploration{scenario: s, mutate: lastWordCounts, enough: all, apart: true}
+		s := scenarioNamed(name)
+		s.maxDepth = depth
+		merged := exploration{scenario: s, newMutation: latestUpdateWins, isEnough: all}
+		apart := exploration{scenario: s, newMutation: latestUpdateWins, isEnough: all, withoutMerging: true}
 		merged.explore()
 		apart.explore()
-		want, got := ruleBreaks(apart.broken), ruleBreaks(merged.broken)
+		want, got := distinctViolations(apart.violating), distinctViolations(merged.violating)
 		if len(want) == 0 || !maps.Equal(got, want) {
 			t.Errorf("%s: %d breaks in %d merged paths, %d in %d paths", s.name, len(got), merged.paths, len(want), apart.paths)
 		}
@@ -155,12 +155,12 @@
 }
 
 // ruleBreaks gives the different breaks of rules.
-func ruleBreaks(paths []brokenPath) map[ruleBreak]struct{} {
-	breaks := map[ruleBreak]struct{}{}
+func distinctViolations(paths []violatingPath) map[ruleViolation]struct{} {
+	violations := map[ruleViolation]struct{}{}
 	for _, path := range paths {
-		for _, rule := range path.broken {
-			breaks[rule] = struct{}{}
+		for _, violation := range path.violations {
+			violations[violation] = struct{}{}
 		}
 	}
-	return breaks
+	return violations
 }
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -9,109 +9,109 @@
 )
 
 // statement is a line of the list with its origin.
-type statement struct {
+type sourcedEntry struct {
 	Entry
-	origin Origin
-	toldAt time.Duration
+	origin  Origin
+	heardAt time.Duration
 }
 
 // listed is a line of the list as it counts.
-type listed struct {
-	statement
-	position uint32        // of this node in the server's own order of all nodes
-	upSince  time.Duration // by this node's clock; 0: for long
+type listedServer struct {
+	sourcedEntry
+	position     uint32        // of this node in the server's own order of all nodes
+	processStart time.Duration // by this node's clock; 0: for long
 }
 
 // directory keeps what the list says of every server; what a node finds out is in server.
-type directory struct {
-	table.Table[ServerID, listed]
-	ready     int
-	lastStart time.Duration // the latest of any server listed so far
-	meanShare float64       // of their capacity that the ready servers have, as of sharesAt
-	sharesAt  time.Duration
+type serverList struct {
+	table.Table[ServerID, listedServer]
+	inServiceCount     int
+	latestProcessStart time.Duration // the latest of any server listed so far
+	meanCapacityShare  float64       // of their capacity that the ready servers have, as of sharesAt
+	meanShareAt        time.Duration
 }
 
 // update takes in one line of a list; one for a server that is gone removes it.
-func (d *directory) update(line listed) {
-	d.sharesAt, d.lastStart = -1, max(d.lastStart, line.upSince)
-	if old, known := d.Get(line.Server); known && old.State == Ready {
-		d.ready--
+func (d *serverList) update(server listedServer) {
+	d.meanShareAt, d.latestProcessStart = -1, max(d.latestProcessStart, server.processStart)
+	if old, known := d.Get(server.Server); known && old.State == StateInService {
+		d.inServiceCount--
 	}
-	if line.State == Ready {
-		d.ready++
+	if server.State == StateInService {
+		d.inServiceCount++
 	}
-	if line.State == Gone {
-		d.Remove(line.Server)
+	if server.State == StateGone {
+		d.Remove(server.Server)
 	} else {
-		d.Put(line)
+		d.Put(server)
 	}
 }
 
 // Members follows the server list for a host with one source, whose events come in the order of its
 // versions. MembersFrom is the same for a host that knows the origin of what it is told.
-func (b *Balancer) Members(now time.Duration, kind ListKind, entries []Entry) {
-	b.MembersFrom(now, Origin{Source: b.origin.Source, Version: b.origin.Version + 1}, kind, entries)
+func (b *Balancer) ListUpdated(now time.Duration, kind ListKind, entries []Entry) {
+	b.ListUpdatedFrom(now, Origin{Source: b.listOrigin.Source, Version: b.listOrigin.Version + 1}, kind, entries)
 }
 
 // MembersFrom follows the server list: it takes lists and changes in, and has the list called for. With
 // LongPoll what becomes of calls is told by CallEnded. The origin counts where there are entries.
-func (b *Balancer) MembersFrom(now time.Duration, origin Origin, kind ListKind, entries []Entry) {
+func (b *Balancer) ListUpdatedFrom(now time.Duration, origin Origin, kind ListKind, entries []Entry) {
 	switch kind {
 	case ListFailed:
-		b.callFailed(now, b.subscription(), true, CallEnd{Result: CallFailed})
+		b.callFailed(now, b.subscriptionCall(), true, CallEnd{Result: CallFailed})
 		return
 	case ListSilent:
-		b.watchSilent(now)
+		b.subscriptionSilent(now)
 		return
-	case ListMoved:
-		b.sourceSince = now
-		b.discoveryMoved(now)
+	case ListAddressChanged:
+		b.sourceFollowedSince = now
+		b.addressChanged(now)
 		return
-	case ListLeaving, ListOutdated:
-		b.leaving(now, origin, kind, entries)
+	case ListPartial, ListOutdated:
+		b.applyPartial(now, origin, kind, entries)
 		b.listChanged(now)
 		return
 	case ListCached:
-		b.callFirst(now, len(entries) > 0)
+		b.planFirstCall(now, len(entries) > 0)
 	}
-	since := b.followed
-	b.follow(now, origin)
-	b.followed = origin.Version
-	b.list(now, origin, kind, entries, since)
-	if kind != ListCached && !b.set.LongPoll {
-		b.callAnswered(now, b.subscription(), true, true)
+	since := b.changesBase
+	b.followSource(now, origin)
+	b.changesBase = origin.Version
+	b.applyList(now, origin, kind, entries, since)
+	if kind != ListCached && !b.set.LongPolling {
+		b.callAnswered(now, b.subscriptionCall(), true, true)
 	}
 	b.listChanged(now)
-	if kind != ListCached || !b.set.ConfirmList {
-		b.serve()
+	if kind != ListCached || !b.set.ConfirmCachedList {
+		b.startServing()
 	}
 }
 
 // follow takes note of the source that is followed from now on. One whose versions go back counts as another
 // one; where they go back again and again, as of replicas that take turns, once in catchUpMost.
-func (b *Balancer) follow(now time.Duration, origin Origin) {
-	goesBack := origin.Version < b.origin.Version && now-b.sourceSince >= catchUpMost
-	if origin.Source != b.origin.Source || goesBack {
-		b.sourceSince = now
+func (b *Balancer) followSource(now time.Duration, origin Origin) {
+	goesBack := origin.Version < b.listOrigin.Version && now-b.sourceFollowedSince >= maxReplicaLag
+	if origin.Source != b.listOrigin.Source || goesBack {
+		b.sourceFollowedSince = now
 	}
-	b.origin = origin
+	b.listOrigin = origin
 }
 
 // listChanged has requests go by the list as it is now.
 func (b *Balancer) listChanged(now time.Duration) {
-	b.takeBack()
+	b.cancelUnsentOutOfService()
 	b.refreshed = -1
 	b.dispatch(now)
 }
 
 // subscription gives the latest call for one, also after it was answered.
-func (b *Balancer) subscription() callOut { return callOut{began: b.calls.last} }
+func (b *Balancer) subscriptionCall() inFlightCall { return inFlightCall{began: b.calls.lastCallAt} }
 
 // takeBack withdraws what may still wait for a connection to a server that takes no new work.
-func (b *Balancer) takeBack() {
+func (b *Balancer) cancelUnsentOutOfService() {
 	for _, r := range b.open {
 		for i := range r.attempts {
-			if a := &r.attempts[i]; a.out && a.server.State != Ready {
+			if a := &r.attempts[i]; a.out && a.server.State != StateInService {
 				b.host.Withdraw(r.ID, i)
 			}
 		}
@@ -120,84 +120,84 @@
 
 // list applies a list or the changes to one since a version, by a whole answer. What a server was found to be is kept
 // while it stays the same process; a restart makes it unmeasured again.
-func (b *Balancer) list(now time.Duration, origin Origin, kind ListKind, entries []Entry, since int64) {
-	lost := kind != ListDelta
-	counts := b.Counted(now, origin, entries)
-	if lost {
-		b.replace(now, origin, kind, entries, counts)
+func (b *Balancer) applyList(now time.Duration, origin Origin, kind ListKind, entries []Entry, since int64) {
+	reselect := kind != ListChanges
+	accepted := b.AcceptedEntries(now, origin, entries)
+	if reselect {
+		b.replaceList(now, origin, kind, entries, accepted)
 	} else {
 		for i, e := range entries {
-			lost = counts[i] && b.take(now, origin, kind, e) || lost
+			reselect = accepted[i] && b.admitAndApply(now, origin, kind, e) || reselect
 		}
 		b.releaseHeld(now, origin, since, entries)
 	}
-	if lost || b.drifted() {
+	if reselect || b.drifted() {
 		b.choose(now)
 	}
 }
 
 // replace puts a whole list in place of the one before. What it does not name is gone.
-func (b *Balancer) replace(now time.Duration, origin Origin, kind ListKind, entries []Entry, counts []bool) {
-	before := slices.Clone(b.directory.Entries)
-	counted := make([]statement, 0, len(entries))
+func (b *Balancer) replaceList(now time.Duration, origin Origin, kind ListKind, entries []Entry, accepted []bool) {
+	previous := slices.Clone(b.serverList.Entries)
+	applied := make([]sourcedEntry, 0, len(entries))
 	for i, e := range entries {
-		if counts[i] {
-			counted = append(counted, statement{Entry: b.admitLine(now, origin, e), origin: origin, toldAt: now})
-		} else if !b.formerLife(now, origin, e) {
+		if accepted[i] {
+			applied = append(applied, sourcedEntry{Entry: b.admitEntry(now, origin, e), origin: origin, heardAt: now})
+		} else if !b.isFormerIncarnation(now, origin, e) {
 			continue // another line about the server counts
-		} else if line, listed := b.directory.Get(e.Server); listed {
-			counted = append(counted, line.statement)
+		} else if entry, isListed := b.serverList.Get(e.Server); isListed {
+			applied = append(applied, entry.sourcedEntry)
 		}
 	}
-	b.directory.Clear()
-	b.directory.ready, b.feeders = 0, 0 // none is worked with before all are known
+	b.serverList.Clear()
+	b.serverList.inServiceCount, b.feeders = 0, 0 // none is worked with before all are known
 	for _, s := range b.servers {
-		s.State = Gone
+		s.State = StateGone
 	}
-	for _, line := range counted {
-		b.update(now, kind, line)
+	for _, entry := range applied {
+		b.applyEntry(now, kind, entry)
 	}
-	notice := byWholeAnswer
+	notice := noticeByWholeAnswer
 	if len(entries) == 0 {
-		notice = byEmptyList
+		notice = noticeByEmptyList
 	}
-	for _, line := range before {
-		if _, named := b.directory.Get(line.Server); !named {
-			b.recordOut(now, origin, line.Server, line.Started, notice)
+	for _, entry := range previous {
+		if _, named := b.serverList.Get(entry.Server); !named {
+			b.recordOutOfService(now, origin, entry.Server, entry.StartedAt, notice)
 		}
 	}
-	b.renewUnnamed(now, origin, notice)
+	b.renewUnlistedTombstones(now, origin, notice)
 }
 
 // take takes in one line of changes. It tells whether the subset lost a server by it.
-func (b *Balancer) take(now time.Duration, origin Origin, kind ListKind, e Entry) (lost bool) {
-	return b.update(now, kind, statement{Entry: b.admitLine(now, origin, e), origin: origin, toldAt: now})
+func (b *Balancer) admitAndApply(now time.Duration, origin Origin, kind ListKind, e Entry) (lost bool) {
+	return b.applyEntry(now, kind, sourcedEntry{Entry: b.admitEntry(now, origin, e), origin: origin, heardAt: now})
 }
 
 // update puts a line into the directory. It tells whether the subset lost a server by it.
-func (b *Balancer) update(now time.Duration, kind ListKind, said statement) (lost bool) {
-	e := said.Entry
-	unit := uint64(e.Server)
+func (b *Balancer) applyEntry(now time.Duration, kind ListKind, entry sourcedEntry) (lost bool) {
+	e := entry.Entry
+	orderKey := uint64(e.Server)
 	if b.boundToCell {
-		unit = uint64(e.Cell)
+		orderKey = uint64(e.Cell)
 	}
-	line := listed{
-		statement: said, position: permutation.Position(unit, uint32(b.set.Node), uint32(b.set.Nodes)),
-		upSince: b.upSince(now, kind, e),
+	listed := listedServer{
+		sourcedEntry: entry, position: permutation.Position(orderKey, uint32(b.set.Node), uint32(b.set.Nodes)),
+		processStart: b.upSince(now, kind, e),
 	}
-	b.directory.update(line)
+	b.serverList.update(listed)
 	s := b.servers[e.Server]
 	if s != nil {
-		if e.Started != s.Started {
+		if e.StartedAt != s.StartedAt {
 			*s = server{rounding: s.rounding, openFor: openFirst, out: s.out, working: s.working}
 		}
-		s.Entry, s.upSince, s.near = e, line.upSince, e.Zone == b.set.Zone
+		s.Entry, s.upSince, s.near = e, listed.processStart, e.Zone == b.set.Zone
 	}
 	switch {
 	case s != nil && s.working:
-		return e.State != Ready
-	case e.State == Ready && int(line.position) < b.feeders:
-		b.workWith(line)
+		return e.State != StateInService
+	case e.State == StateInService && int(listed.position) < b.feeders:
+		b.workWith(listed)
 	}
 	return false
 }
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -43,7 +43,7 @@
 	before := s.breaker
 	s.breaker, s.trial = open, nil
 	s.reopenAt = now + b.jitter(s.openFor)
-	b.breakerChanged(s, before)
+	b.reportBreakerChange(s, before)
 }
 
 // succeeded closes the breaker. An answer to an older attempt lets an open one's trial come at once.
@@ -73,7 +73,7 @@
 		s.outcomes.Add(now, true, latency)
 		before := s.breaker
 		s.succeeded(now, a)
-		b.breakerChanged(s, before)
+		b.reportBreakerChange(s, before)
 		if len(b.keys) >= keysKept {
 			clear(b.keys)
 		}
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -142,7 +142,7 @@
 		}
 		capacity += float64(s.cores) * s.speed
 		f.servers = append(f.servers, s)
-		list = append(list, Entry{Server: ServerID(i + 1), Zone: i % 2, Cell: i / 6, State: Ready, Weight: float64(s.cores) * s.speed})
+		list = append(list, Entry{Server: ServerID(i + 1), Zone: i % 2, Cell: i / 6, State: StateInService, Weight: float64(s.cores) * s.speed})
 	}
 	weights, sum := make([]float64, model.nodes), 0.0
 	for i := range weights {
@@ -161,7 +161,7 @@
 			t.Fatal(err)
 		}
 		f.nodes = append(f.nodes, n)
-		n.event(func(b *Balancer) { b.Members(f.now, ListCached, list) })
+		n.event(func(b *Balancer) { b.ListUpdated(f.now, ListCached, list) })
 		work := firstClass*modelWork[0] + (1-firstClass)*modelWork[1]
 		f.arrive(n, model.load*capacity/work*weights[i]/sum)
 	}
@@ -315,13 +315,13 @@
 }
 
 // CallList implements Host.
-func (n *modelNode) CallList(Call) {}
+func (n *modelNode) StartCall(Call) {}
 
 // EndCall implements Host.
-func (n *modelNode) EndCall(CallID) {}
+func (n *modelNode) CancelCall(CallID) {}
 
 // Ready implements Host.
-func (n *modelNode) Ready() {}
+func (n *modelNode) MarkReady() {}
 
 // take puts an attempt into the server's queue or turns it away.
 func (s *modelServer) take(f *fleet, a *modelAttempt) {
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -14,7 +14,7 @@
 // maySend is the one gate for every attempt. It keeps the rules: nothing after the end, no attempt
 // too many, nothing to a server that drains or is gone, no effect twice, no cold server pushed over.
 func (b *Balancer) maySend(now time.Duration, r *request, s *server) bool {
-	if r.done || r.stream || now >= r.end || len(r.attempts) >= b.set.Limits.MaxAttempts || s.State != Ready {
+	if r.done || r.stream || now >= r.end || len(r.attempts) >= b.set.Limits.MaxAttempts || s.State != StateInService {
 		return false
 	}
 	for i := range r.attempts {
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -88,15 +88,15 @@
 	h.timers = append(h.timers, timer{at, token})
 }
 
-func (h *fakeHost) Ready() { h.readies++ }
+func (h *fakeHost) MarkReady() { h.readies++ }
 
-func (h *fakeHost) CallList(call Call) {
-	h.note("call %d for %v", call.ID, call.Wait)
+func (h *fakeHost) StartCall(call Call) {
+	h.note("call %d for %v", call.ID, call.WaitForChanges)
 	h.watches++
 	h.calls = append(h.calls, call)
 }
 
-func (h *fakeHost) EndCall(id CallID) {
+func (h *fakeHost) CancelCall(id CallID) {
 	h.note("end call %d", id)
 	h.ended = append(h.ended, id)
 }
@@ -141,12 +141,12 @@
 func ready(first, last int) []Entry {
 	var entries []Entry
 	for i := first; i <= last; i++ {
-		entries = append(entries, Entry{Server: ServerID(i), Cell: i / 2, Zone: i / 5, State: Ready, Weight: 1})
+		entries = append(entries, Entry{Server: ServerID(i), Cell: i / 2, Zone: i / 5, State: StateInService, Weight: 1})
 	}
 	return entries
 }
 
-func (r *rig) list(kind ListKind, entries ...Entry) { r.b.Members(r.now, kind, entries) }
+func (r *rig) list(kind ListKind, entries ...Entry) { r.b.ListUpdated(r.now, kind, entries) }
 
 func (r *rig) request(class int) RequestID {
 	r.next++
@@ -442,9 +442,9 @@
 // taken back, whatever is cancelled, and goes elsewhere.
 func TestAttemptsAtServersThatLeaveAreTakenBack(t *testing.T) {
 	for _, leave := range []func(r *rig){
-		func(r *rig) { r.list(ListDelta, Entry{Server: 1, State: Draining}, ready(2, 2)[0]) },
-		func(r *rig) { r.list(ListDelta, Entry{Server: 1, State: Gone}, ready(2, 2)[0]) },
-		func(r *rig) { r.list(ListFull, ready(2, 2)...) },
+		func(r *rig) { r.list(ListChanges, Entry{Server: 1, State: StateDraining}, ready(2, 2)[0]) },
+		func(r *rig) { r.list(ListChanges, Entry{Server: 1, State: StateGone}, ready(2, 2)[0]) },
+		func(r *rig) { r.list(ListWhole, ready(2, 2)...) },
 	} {
 		set := testSettings()
 		set.Limits.Cancel = false
@@ -485,14 +485,14 @@
 	}
 	first := r.h.sends[0]
 	r.end(first.id, Error, ms) // waits for its backoff
-	r.list(ListDelta, Entry{Server: 1, State: Draining})
-	r.list(ListDelta, Entry{Server: 2, State: Gone})
+	r.list(ListChanges, Entry{Server: 1, State: StateDraining})
+	r.list(ListChanges, Entry{Server: 2, State: StateGone})
 	before := len(r.h.sends)
 	r.pass(3 * time.Second)
 	if len(r.h.sends) != before {
 		t.Fatalf("sent %v after the notices", r.h.sends[before:])
 	}
-	r.list(ListFull, ready(2, 3)...)
+	r.list(ListWhole, ready(2, 3)...)
 	if id := r.request(0); len(r.sendsOf(id)) != 1 {
 		t.Fatal("the full list's servers are not used")
 	}
@@ -500,9 +500,9 @@
 
 func TestWatchedListIsWatchedAgainAfterFailures(t *testing.T) {
 	set := testSettings()
-	set.ListAsked = true
+	set.ListOnRequest = true
 	r := newRig(t, set, 3)
-	r.pass(paceFirst)
+	r.pass(firstBackoff)
 	if r.h.watches != 1 {
 		t.Fatalf("%d calls at the start, want 1", r.h.watches)
 	}
@@ -529,9 +529,9 @@
 			r.serve(200, 0, 10*ms)
 			restarted := ready(1, tc.cold)
 			for i := range restarted {
-				restarted[i].Started = r.now
+				restarted[i].StartedAt = r.now
 			}
-			r.list(ListDelta, restarted...)
+			r.list(ListChanges, restarted...)
 			// What a warm server gets: an even part of all that is asked for.
 			part := r.b.demand.PerSecond(r.now) / 10 * r.b.set.Rules.FallFor.Seconds()
 			s := r.b.servers[1]
@@ -583,8 +583,8 @@
 		r.serve(20, 0, 50*ms)
 		part += r.b.demand.PerSecond(r.now) / 10
 		cold := ready(1, 1)
-		cold[0].Started = r.now
-		r.list(ListDelta, cold...)
+		cold[0].StartedAt = r.now
+		r.list(ListChanges, cold...)
 		before := len(r.h.sends)
 		r.serve(20, 0, 50*ms)
 		for _, s := range r.h.sends[before:] {
@@ -611,7 +611,7 @@
 	if !r.b.maySend(r.now, q, s) {
 		t.Fatal("a ready server must pass")
 	}
-	for _, state := range []State{Draining, Gone} {
+	for _, state := range []ServerState{StateDraining, StateGone} {
 		s.State = state
 		if r.b.maySend(r.now, q, s) {
 			t.Errorf("state %d passes the gate", state)
@@ -787,7 +787,7 @@
 	r.b.Left(r.now, id)
 	r.b.Started(r.now, id, 0)
 	r.b.Timer(r.now, 77)
-	r.list(ListDelta, Entry{Server: 55, State: Gone})
+	r.list(ListChanges, Entry{Server: 55, State: StateGone})
 	if len(r.h.log) != before {
 		t.Fatalf("stale events led to %v", r.h.log[before:])
 	}
--- a/policy/request.go
+++ b/policy/request.go
@@ -67,7 +67,7 @@
 	b.demand.Add(now, b.loneLatency(r))
 	b.copyTokens = min(b.copyTokens+copyBudget, copyBurst)
 	switch {
-	case b.set.ConfirmList && !b.serving:
+	case b.set.ConfirmCachedList && !b.serving:
 		b.giveUp(now, r, NotReady)
 	case b.thin() && !b.admit(now, over):
 		b.giveUp(now, r, Overload)
@@ -160,7 +160,7 @@
 	writeBy := r.windowEnd()
 	r.attempts = append(r.attempts, attempt{
 		server: s, request: r, zone: s.Zone, cell: s.Cell, sent: now, out: true,
-		lone: len(s.out) == 0 && b.out*b.set.Nodes <= 3*b.directory.ready,
+		lone: len(s.out) == 0 && b.out*b.set.Nodes <= 3*b.serverList.inServiceCount,
 	})
 	a := &r.attempts[len(r.attempts)-1]
 	s.out = append(s.out, a)
--- a/policy/scale_subset_test.go
+++ b/policy/scale_subset_test.go
@@ -70,7 +70,7 @@
 	settings, entries := scaleSettings(targetNodes, targetTenants), scaleServers(targetServers)
 	held := heapOf(func() *scaleNode {
 		node := newScaleNode(t, settings)
-		node.balancer.Members(node.now, policy.ListFull, entries)
+		node.balancer.ListUpdated(node.now, policy.ListWhole, entries)
 		return node
 	})
 	held += heapOf(func() []policy.Tenant { return slices.Clone(settings.Tenants) })
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -109,7 +109,7 @@
 func listedScaleNode(tb testing.TB, nodes, servers int) *scaleNode {
 	tb.Helper()
 	node := newScaleNode(tb, scaleSettings(nodes, 0))
-	node.balancer.Members(node.now, policy.ListFull, scaleServers(servers))
+	node.balancer.ListUpdated(node.now, policy.ListWhole, scaleServers(servers))
 	return node
 }
 
@@ -143,7 +143,7 @@
 		Server: policy.ServerID(uint64(index+1) * 0x9e3779b97f4a7c15),
 		Zone:   index % targetZones,
 		Cell:   index / 17,
-		State:  policy.Ready,
+		State:  policy.StateInService,
 		Weight: 1,
 	}
 }
@@ -233,19 +233,19 @@
 func (n *scaleNode) WriteBy(policy.RequestID, time.Duration) {}
 
 // CallList implements policy.Host.
-func (n *scaleNode) CallList(policy.Call) {}
+func (n *scaleNode) StartCall(policy.Call) {}
 
 // EndCall implements policy.Host.
-func (n *scaleNode) EndCall(policy.CallID) {}
+func (n *scaleNode) CancelCall(policy.CallID) {}
 
 // Ready implements policy.Host.
-func (n *scaleNode) Ready() {}
+func (n *scaleNode) MarkReady() {}
 
 // changeOneLine tells of one server that drains, or is ready again.
-func (n *scaleNode) changeOneLine(index int, state policy.State) {
+func (n *scaleNode) changeOneLine(index int, state policy.ServerState) {
 	entry := scaleServer(index)
 	entry.State = state
-	n.balancer.Members(n.now, policy.ListDelta, []policy.Entry{entry})
+	n.balancer.ListUpdated(n.now, policy.ListChanges, []policy.Entry{entry})
 }
 
 // heapBytes is what is on the heap once garbage is collected.
@@ -360,7 +360,7 @@
 		b.ReportAllocs()
 		for i := 0; b.Loop(); i++ {
 			index := i / 2 * 7919 % servers
-			node.changeOneLine(index, []policy.State{policy.Draining, policy.Ready}[i%2])
+			node.changeOneLine(index, []policy.ServerState{policy.StateDraining, policy.StateInService}[i%2])
 		}
 	})
 }
@@ -376,7 +376,7 @@
 			}
 		}
 		for i := 0; b.Loop(); i++ {
-			node.changeOneLine(met[i/2%len(met)], []policy.State{policy.Draining, policy.Ready}[i%2])
+			node.changeOneLine(met[i/2%len(met)], []policy.ServerState{policy.StateDraining, policy.StateInService}[i%2])
 		}
 	})
 }
@@ -388,7 +388,7 @@
 		entries := scaleServers(servers)
 		b.ReportAllocs()
 		for b.Loop() {
-			node.balancer.Members(node.now, policy.ListFull, entries)
+			node.balancer.ListUpdated(node.now, policy.ListWhole, entries)
 		}
 	})
 }
@@ -400,7 +400,7 @@
 		settings, entries := scaleSettings(nodesBefore(servers), 0), scaleServers(servers)
 		start := func() *scaleNode {
 			node := newScaleNode(b, settings)
-			node.balancer.Members(node.now, policy.ListFull, entries)
+			node.balancer.ListUpdated(node.now, policy.ListWhole, entries)
 			return node
 		}
 		for b.Loop() {
@@ -425,7 +425,7 @@
 			settingsOf := heapOf(func() []policy.Tenant { return slices.Clone(settings.Tenants) })
 			held := heapOf(func() *scaleNode { return newScaleNode(b, settings) })
 			node := newScaleNode(b, settings)
-			node.balancer.Members(node.now, policy.ListFull, scaleServers(servers))
+			node.balancer.ListUpdated(node.now, policy.ListWhole, scaleServers(servers))
 			node.serve(warmUp)
 			for first := 0; b.Loop(); first = (first + requestsEach) % (tenants - requestsEach) {
 				node.serveTenant(requestsEach, first)
@@ -444,11 +444,11 @@
 	const changes = 32
 	perChange := func(servers int) float64 {
 		node := listedScaleNode(t, nodesBefore(servers), servers)
-		node.changeOneLine(0, policy.Draining)
-		node.changeOneLine(0, policy.Ready)
+		node.changeOneLine(0, policy.StateDraining)
+		node.changeOneLine(0, policy.StateInService)
 		return allocated(func() {
 			for i := range changes {
-				node.changeOneLine(i/2, []policy.State{policy.Draining, policy.Ready}[i%2])
+				node.changeOneLine(i/2, []policy.ServerState{policy.StateDraining, policy.StateInService}[i%2])
 			}
 		}) / changes
 	}
@@ -475,8 +475,8 @@
 func TestScaleWholeListAllocatesLessThanTheFirst(t *testing.T) {
 	entries := scaleServers(baseServers)
 	node := newScaleNode(t, scaleSettings(nodesBefore(baseServers), 0))
-	first := allocated(func() { node.balancer.Members(node.now, policy.ListFull, entries) })
-	again := allocated(func() { node.balancer.Members(node.now, policy.ListFull, entries) })
+	first := allocated(func() { node.balancer.ListUpdated(node.now, policy.ListWhole, entries) })
+	again := allocated(func() { node.balancer.ListUpdated(node.now, policy.ListWhole, entries) })
 	if again > first/4 {
 		t.Errorf("the first list allocates %.0f B, the same one again %.0f B", first, again)
 	}
@@ -502,7 +502,7 @@
 	settings := scaleSettings(nodesBefore(servers), 0)
 	held := heapOf(func() *scaleNode {
 		node := newScaleNode(t, settings)
-		node.balancer.Members(node.now, policy.ListFull, entries)
+		node.balancer.ListUpdated(node.now, policy.ListWhole, entries)
 		return node
 	})
 	runtime.KeepAlive(entries)
@@ -531,7 +531,7 @@
 	serve := func(tenants int) func() {
 		settings := scaleSettings(nodesBefore(200), tenants)
 		node := newScaleNode(t, settings)
-		node.balancer.Members(node.now, policy.ListFull, scaleServers(200))
+		node.balancer.ListUpdated(node.now, policy.ListWhole, scaleServers(200))
 		node.serve(warmUp)
 		first := 0
 		return func() {
@@ -553,7 +553,7 @@
 		node := listedScaleNode(t, nodesBefore(servers), servers)
 		return func() {
 			for range repeats {
-				node.balancer.Members(node.now, policy.ListFull, entries)
+				node.balancer.ListUpdated(node.now, policy.ListWhole, entries)
 			}
 		}
 	}
--- a/policy/score.go
+++ b/policy/score.go
@@ -90,7 +90,7 @@
 		}
 		if s.breaker == open && now >= s.reopenAt {
 			s.breaker, s.trial = halfOpen, nil
-			b.breakerChanged(s, open)
+			b.reportBreakerChange(s, open)
 		}
 		if s.breaker == closed {
 			highest = max(highest, s.latency)
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -35,7 +35,7 @@
 	}
 	b := &Balancer{
 		set: set, host: host, rng: rand.New(rand.NewPCG(seed, 0)),
-		directory: directory{Table: table.New(func(line listed) ServerID { return line.Server })}, wanted: subsetLeast, base: set.Nodes, feeders: set.Nodes,
+		serverList: serverList{Table: table.New(func(line listedServer) ServerID { return line.Server })}, wanted: subsetLeast, base: set.Nodes, feeders: set.Nodes,
 		servers: map[ServerID]*server{}, keys: map[uint64]*server{}, requests: map[RequestID]*request{}, tombstones: newTombstones(),
 		meanSuccess: 1, meanLatency: 1, refreshed: -1,
 		admitted: 1, limit: min(1, 3/float64(set.Nodes)),
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -13,20 +13,20 @@
 // news lies after the last answer, less the time that discovery may take to learn of it. A process is
 // dated once.
 func (b *Balancer) upSince(now time.Duration, kind ListKind, e Entry) time.Duration {
-	if s := b.servers[e.Server]; s != nil && s.Started == e.Started {
+	if s := b.servers[e.Server]; s != nil && s.StartedAt == e.StartedAt {
 		return s.upSince
 	}
-	if line, listed := b.directory.Get(e.Server); listed && line.Started == e.Started {
-		return line.upSince
+	if line, listed := b.serverList.Get(e.Server); listed && line.StartedAt == e.StartedAt {
+		return line.processStart
 	}
-	if e.Started <= 0 {
+	if e.StartedAt <= 0 {
 		return 0
 	}
 	earliest := time.Duration(0)
-	if kind == ListDelta && b.calls.answered > 0 {
-		earliest = b.calls.answered - startLate
+	if kind == ListChanges && b.calls.answeredAt > 0 {
+		earliest = b.calls.answeredAt - startLate
 	}
-	return min(max(e.Started, earliest), now)
+	return min(max(e.StartedAt, earliest), now)
 }
 
 // coldShare is the share of its capacity that a server has at least.
@@ -42,20 +42,20 @@
 // meanShare is the share of its capacity that a ready server has, over all that are listed: a node
 // whose subset is colder than the rest must not send it more for that.
 func (b *Balancer) meanShare(now time.Duration) float64 {
-	d := &b.directory
-	if now >= d.lastStart+b.set.Rules.ColdFor {
+	d := &b.serverList
+	if now >= d.latestProcessStart+b.set.Rules.ColdFor {
 		return 1
 	}
-	if d.sharesAt < 0 || now-d.sharesAt >= b.set.Rules.ColdFor/sharesEvery {
+	if d.meanShareAt < 0 || now-d.meanShareAt >= b.set.Rules.ColdFor/sharesEvery {
 		sum := 0.0
 		for i := range d.Entries {
-			if d.Entries[i].State == Ready {
-				sum += b.coldShare(d.Entries[i].upSince, now)
+			if d.Entries[i].State == StateInService {
+				sum += b.coldShare(d.Entries[i].processStart, now)
 			}
 		}
-		d.sharesAt, d.meanShare = now, sum/float64(max(1, d.ready))
+		d.meanShareAt, d.meanCapacityShare = now, sum/float64(max(1, d.inServiceCount))
 	}
-	return d.meanShare
+	return d.meanCapacityShare
 }
 
 // coldBudget tells whether a cold server can bear this work too. This node cannot see the others, so
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -48,7 +48,7 @@
 		b.feeders = min(int(math.Ceil(subsetDrift*float64(b.feeders))), b.set.Nodes)
 	}
 	for id, s := range b.servers {
-		if !s.working && len(s.out) == 0 && (s.State == Gone || b.coldShare(s.upSince, now) >= 1) {
+		if !s.working && len(s.out) == 0 && (s.State == StateGone || b.coldShare(s.upSince, now) >= 1) {
 			delete(b.servers, id)
 		}
 	}
@@ -63,7 +63,7 @@
 // feedersWanted gives the nodes that work with each server where each node works with as many as this one.
 func (b *Balancer) feedersWanted() int {
 	nodes := float64(b.set.Nodes)
-	return int(min(math.Ceil(max(nodes*b.wanted/max(1, float64(b.directory.ready)), feedersLeast)), nodes))
+	return int(min(math.Ceil(max(nodes*b.wanted/max(1, float64(b.serverList.inServiceCount)), feedersLeast)), nodes))
 }
 
 // work makes the ready servers that have this node among their first nodes the subset.
@@ -72,18 +72,18 @@
 		s.working = false
 	}
 	b.subset = slices.Delete(b.subset, 0, len(b.subset))
-	for i := range b.directory.Entries {
-		if line := &b.directory.Entries[i]; line.State == Ready && int(line.position) < b.feeders {
+	for i := range b.serverList.Entries {
+		if line := &b.serverList.Entries[i]; line.State == StateInService && int(line.position) < b.feeders {
 			b.workWith(*line)
 		}
 	}
 }
 
-func (b *Balancer) workWith(line listed) {
+func (b *Balancer) workWith(line listedServer) {
 	s := b.servers[line.Server]
 	if s == nil {
 		s = &server{
-			Entry: line.Entry, upSince: line.upSince, rounding: b.rng.Float64(), openFor: openFirst,
+			Entry: line.Entry, upSince: line.processStart, rounding: b.rng.Float64(), openFor: openFirst,
 			near: line.Zone == b.set.Zone,
 		}
 		b.servers[line.Server] = s
@@ -99,11 +99,11 @@
 	for _, s := range b.subset {
 		zones[s.Zone]++
 	}
-	missing := func(line listed) bool {
-		return line.State == Ready && int(line.position) >= b.feeders && zones[line.Zone] < 2
+	missing := func(line listedServer) bool {
+		return line.State == StateInService && int(line.position) >= b.feeders && zones[line.Zone] < 2
 	}
 	return len(b.subset) >= subsetLeast/2 &&
-		!(b.boundToZone && slices.ContainsFunc(b.directory.Entries, missing))
+		!(b.boundToZone && slices.ContainsFunc(b.serverList.Entries, missing))
 }
 
 // inUse counts the servers of the subset whose breaker is closed, and adds up the shares that they can bear.
