--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -92,7 +92,7 @@
 	before := make([][]ServerID, nodes)
 	for i, r := range fleet {
 		before[i] = r.subsetIDs()
-		r.list(ListDelta, Entry{Server: 7, State: Gone}, Entry{Server: 30, State: Draining}, ready(1000, 1000)[0])
+		r.list(ListChanges, Entry{Server: 7, State: StateGone}, Entry{Server: 30, State: StateDraining}, ready(1000, 1000)[0])
 	}
 	for i, r := range fleet {
 		for _, id := range before[i] {
@@ -130,7 +130,7 @@
 	whole := newNode(t, unbound(), 300, 5, 1, ready(1, 160)...)
 	changes := newNode(t, unbound(), 300, 5, 1, ready(1, 2)...)
 	for id := 3; id <= 160; id++ {
-		changes.list(ListDelta, ready(id, id)...)
+		changes.list(ListChanges, ready(id, id)...)
 	}
 	got, want := changes.subsetIDs(), whole.subsetIDs()
 	for _, id := range want {
@@ -207,9 +207,9 @@
 	drained := newNode(t, unbound(), 300, 3, 1, ready(1, 1000)...)
 	var lines []Entry
 	for _, id := range own {
-		lines = append(lines, Entry{Server: id, State: Draining})
+		lines = append(lines, Entry{Server: id, State: StateDraining})
 	}
-	drained.list(ListDelta, lines...)
+	drained.list(ListChanges, lines...)
 	if n := len(drained.b.subset); n < subsetLeast/2 {
 		t.Errorf("%d servers are left after all of the subset drained", n)
 	}
--- a/policy/thin_test.go
+++ b/policy/thin_test.go
@@ -122,7 +122,7 @@
 	for i := range entries {
 		entries[i].Zone = 1
 	}
-	r.list(ListFull, entries...)
+	r.list(ListWhole, entries...)
 	large := 0
 	for range 400 {
 		id := r.request(0)
@@ -207,10 +207,10 @@
 	for i := range entries {
 		entries[i].Zone = 1
 		if i < 5 {
-			entries[i].Started = r.now // at 0.2 of its capacity
+			entries[i].StartedAt = r.now // at 0.2 of its capacity
 		}
 	}
-	r.list(ListFull, entries...)
+	r.list(ListWhole, entries...)
 	r.b.refresh(r.now)
 	r.b.choices = append(r.b.choices[:0], r.b.subset...)
 	cold := 0
@@ -271,11 +271,11 @@
 	r.serve(20, 0, 20*ms)
 	cold := ready(1, 10)
 	for i := range cold {
-		cold[i].Started = r.now
+		cold[i].StartedAt = r.now
 	}
-	r.list(ListFull)
+	r.list(ListWhole)
 	r.b.refresh(r.now)
-	r.list(ListFull, cold...)
+	r.list(ListWhole, cold...)
 	for _, s := range r.b.subset {
 		if r.b.coldBudget(s, r.now, 0.02) || s.coldSaved != s.coldSaved || s.coldSaved > 0.02 {
 			t.Fatalf("server %d may be sent work at its very start, saved %v", s.Server, s.coldSaved)
--- a/policy/tombstone.go
+++ b/policy/tombstone.go
@@ -18,13 +18,13 @@
 const (
 	// catchUpMost is how far a replica of discovery may lag behind another one. Discovery tells a change
 	// within toldAfter, and a replica that lags by ten times as much is not in service.
-	catchUpMost = 10 * toldAfter
+	maxReplicaLag = 10 * maxListAge
 
 	// tombstonesKept is how long the tombstone of a server that is not listed is kept, and tombstonesMost
 	// bounds their number: as many as a list may have servers.
-	tombstonesKept  = 10 * time.Minute
-	tombstonesLeast = 1 << 10 // that are kept before any is dropped
-	tombstonesMost  = 256 << 10
+	tombstoneRetention   = 10 * time.Minute
+	minTombstonesToSweep = 1 << 10 // that are kept before any is dropped
+	maxTombstones        = 256 << 10
 )
 
 // SourceID names a discovery service: versions of equal sources compare. The host chooses it.
@@ -42,180 +42,180 @@
 // tombstone notes that a life of a server, from one start to the next, takes no new work. Each source that
 // has told so has to tell otherwise.
 type tombstone struct {
-	started time.Duration // of the life, as the list tells it
-	since   time.Duration // when it was told first
-	notices []notice
+	startedAt time.Duration // of the life, as the list tells it
+	since     time.Duration // when it was told first
+	notices   []notice
 }
 
 // notice is the last statement of a source that a life takes no new work.
 type notice struct {
-	origin Origin
-	at     time.Duration
-	kind   noticeKind
-	stale  bool // it was of an earlier version than the list that the node had from the same source
+	origin  Origin
+	heardAt time.Duration
+	kind    noticeKind
+	stale   bool // it was of an earlier version than the list that the node had from the same source
 }
 
 // noticeKind tells by what a server was told to be out of service.
 type noticeKind uint8
 
 const (
-	byWholeAnswer noticeKind = iota
-	byPart                   // by a line of an answer that was not whole, or not taken
-	byEmptyList              // by a whole list without any server, which the same version may correct
+	noticeByWholeAnswer   noticeKind = iota
+	noticeByPartialAnswer            // by a line of an answer that was not whole, or not taken
+	noticeByEmptyList                // by a whole list without any server, which the same version may correct
 )
 
 // undoneBy tells whether a whole answer that says otherwise, or does not name the server, undoes a notice.
 func (n notice) undoneBy(origin Origin) bool {
-	corrects := n.kind == byEmptyList && origin.Version == n.origin.Version
+	corrects := n.kind == noticeByEmptyList && origin.Version == n.origin.Version
 	return origin.Source == n.origin.Source && (origin.Version > n.origin.Version || corrects)
 }
 
 // confirmedBy tells whether a whole answer that says the same stands for a notice by a part of an answer.
-func (n notice) confirmedBy(origin Origin) bool {
+func (n notice) replacedBy(origin Origin) bool {
 	versioned := n.origin.Version != UnknownVersion
-	return n.kind == byPart && n.origin.Source == origin.Source && !(versioned && n.origin.Version > origin.Version)
+	return n.kind == noticeByPartialAnswer && n.origin.Source == origin.Source && !(versioned && n.origin.Version > origin.Version)
 }
 
 // tombstones holds what was told of servers out of service.
 type tombstones struct {
-	of      map[ServerID]tombstone
-	held    map[ServerID]statement // lines in service of servers that are out
-	sweepAt int                    // their number at which old ones are dropped
+	byServer     map[ServerID]tombstone
+	held         map[ServerID]sourcedEntry // lines in service of servers that are out
+	sweepAtCount int                       // their number at which old ones are dropped
 }
 
 func newTombstones() tombstones {
-	return tombstones{of: map[ServerID]tombstone{}, held: map[ServerID]statement{}, sweepAt: tombstonesLeast}
+	return tombstones{byServer: map[ServerID]tombstone{}, held: map[ServerID]sourcedEntry{}, sweepAtCount: minTombstonesToSweep}
 }
 
 // OutOfService tells whether a server was told to take no new work, and since when.
-func (b *Balancer) OutOfService(server ServerID) (since time.Duration, out bool) {
-	record, out := b.tombstones.of[server]
-	return record.since, out
+func (b *Balancer) OutOfService(server ServerID) (since time.Duration, isOut bool) {
+	record, isOut := b.tombstones.byServer[server]
+	return record.since, isOut
 }
 
 // caughtUp tells whether any replica must know by now what a notice tells: the present source may have
 // begun since.
-func (b *Balancer) caughtUp(now time.Duration, n notice) bool {
-	return now >= max(n.at, b.sourceSince)+catchUpMost
+func (b *Balancer) hasCaughtUp(now time.Duration, n notice) bool {
+	return now >= max(n.heardAt, b.sourceFollowedSince)+maxReplicaLag
 }
 
 // recordOut notes that a life of a server takes no new work: the one that is known, where the line does not date a
 // later start.
-func (b *Balancer) recordOut(
-	now time.Duration, origin Origin, server ServerID, started time.Duration, kind noticeKind,
+func (b *Balancer) recordOutOfService(
+	now time.Duration, origin Origin, server ServerID, startedAt time.Duration, kind noticeKind,
 ) {
-	if line, listed := b.directory.Get(server); listed {
-		started = max(started, line.Started)
+	if listed, isListed := b.serverList.Get(server); isListed {
+		startedAt = max(startedAt, listed.StartedAt)
 	}
-	record, known := b.tombstones.of[server]
-	if !known || record.started < started {
-		record = tombstone{started: started, since: now}
+	record, known := b.tombstones.byServer[server]
+	if !known || record.startedAt < startedAt {
+		record = tombstone{startedAt: startedAt, since: now}
 	}
-	next := notice{origin: origin, at: now, kind: kind}
-	next.stale = origin.Source == b.origin.Source && origin.Version < b.origin.Version
-	same := func(n notice) bool { return n.origin.Source == origin.Source && n.kind == kind }
-	if i := slices.IndexFunc(record.notices, same); i >= 0 {
+	next := notice{origin: origin, heardAt: now, kind: kind}
+	next.stale = origin.Source == b.listOrigin.Source && origin.Version < b.listOrigin.Version
+	isSame := func(n notice) bool { return n.origin.Source == origin.Source && n.kind == kind }
+	if i := slices.IndexFunc(record.notices, isSame); i >= 0 {
 		next.origin.Version = max(origin.Version, record.notices[i].origin.Version)
 		next.stale = next.stale && record.notices[i].stale
 	}
 	record.notices = append(slices.DeleteFunc(record.notices, func(n notice) bool {
-		return same(n) || kind == byWholeAnswer && n.confirmedBy(origin)
+		return isSame(n) || kind == noticeByWholeAnswer && n.replacedBy(origin)
 	}), next)
-	b.tombstones.of[server] = record
-	if kind != byPart {
+	b.tombstones.byServer[server] = record
+	if kind != noticeByPartialAnswer {
 		delete(b.tombstones.held, server)
 	}
-	if len(b.tombstones.of) >= b.tombstones.sweepAt {
+	if len(b.tombstones.byServer) >= b.tombstones.sweepAtCount {
 		b.sweepTombstones(now)
 	}
 }
 
 // lift takes the notices from a tombstone that are undone. It tells whether none is left.
-func (b *Balancer) lift(server ServerID, undone func(n notice) bool) bool {
-	record := b.tombstones.of[server]
+func (b *Balancer) removeNotices(server ServerID, undone func(n notice) bool) bool {
+	record := b.tombstones.byServer[server]
 	record.notices = slices.DeleteFunc(record.notices, undone)
 	if len(record.notices) == 0 {
-		delete(b.tombstones.of, server)
+		delete(b.tombstones.byServer, server)
 		return true
 	}
-	b.tombstones.of[server] = record
+	b.tombstones.byServer[server] = record
 	return false
 }
 
 // renewUnnamed has a whole list tell again that servers are out of service that it does not name.
-func (b *Balancer) renewUnnamed(now time.Duration, origin Origin, kind noticeKind) {
-	for server, record := range b.tombstones.of {
-		if _, named := b.directory.Get(server); !named {
-			b.recordOut(now, origin, server, record.started, kind)
+func (b *Balancer) renewUnlistedTombstones(now time.Duration, origin Origin, kind noticeKind) {
+	for server, record := range b.tombstones.byServer {
+		if _, isListed := b.serverList.Get(server); !isListed {
+			b.recordOutOfService(now, origin, server, record.startedAt, kind)
 		}
 	}
 }
 
 // sweepTombstones drops those that are old, and those of unknown servers if there are very many.
 func (b *Balancer) sweepTombstones(now time.Duration) {
-	records := b.tombstones.of
-	crowded := len(records) >= tombstonesMost
+	records := b.tombstones.byServer
+	tooMany := len(records) >= maxTombstones
 	for server, record := range records {
 		_, isHeld := b.tombstones.held[server]
-		line, listed := b.directory.Get(server)
-		needed := isHeld || listed && line.State != Ready
-		if !needed && (now-record.since >= tombstonesKept || crowded) {
+		listed, isListed := b.serverList.Get(server)
+		isNeeded := isHeld || isListed && listed.State != StateInService
+		if !isNeeded && (now-record.since >= tombstoneRetention || tooMany) {
 			delete(records, server)
 		}
 	}
-	b.tombstones.sweepAt = max(tombstonesLeast, min(2*len(records), max(tombstonesMost, len(records)*9/8)))
+	b.tombstones.sweepAtCount = max(minTombstonesToSweep, min(2*len(records), max(maxTombstones, len(records)*9/8)))
 }
 
 // admitLine gives a line of a whole answer as it counts: one that puts a server into service is held while
 // its tombstone is in force.
-func (b *Balancer) admitLine(now time.Duration, origin Origin, e Entry) Entry {
+func (b *Balancer) admitEntry(now time.Duration, origin Origin, e Entry) Entry {
 	delete(b.tombstones.held, e.Server)
-	if e.State != Ready {
-		b.recordOut(now, origin, e.Server, e.Started, byWholeAnswer)
+	if e.State != StateInService {
+		b.recordOutOfService(now, origin, e.Server, e.StartedAt, noticeByWholeAnswer)
 		return e
 	}
-	if record := b.tombstones.of[e.Server]; e.Started > record.started {
-		delete(b.tombstones.of, e.Server)
+	if record := b.tombstones.byServer[e.Server]; e.StartedAt > record.startedAt {
+		delete(b.tombstones.byServer, e.Server)
 	}
-	if b.lift(e.Server, func(n notice) bool { return n.undoneBy(origin) || b.caughtUp(now, n) }) {
+	if b.removeNotices(e.Server, func(n notice) bool { return n.undoneBy(origin) || b.hasCaughtUp(now, n) }) {
 		return e
 	}
-	b.tombstones.held[e.Server] = statement{Entry: e, origin: origin, toldAt: now}
-	b.serverHeld(e.Server, b.tombstones.of[e.Server].notices[0].origin, origin)
-	e.State = Draining
+	b.tombstones.held[e.Server] = sourcedEntry{Entry: e, origin: origin, heardAt: now}
+	b.reportServerHeld(e.Server, b.tombstones.byServer[e.Server].notices[0].origin, origin)
+	e.State = StateDraining
 	return e
 }
 
 // Counted tells which lines of a list or of changes say something: not those about an earlier start of their
 // server than the one that is known, as a replica that lags may tell it, and of several lines about a server the
 // last one of its latest start.
-func (b *Balancer) Counted(now time.Duration, origin Origin, entries []Entry) []bool {
-	b.follow(now, origin)
-	counts := make([]bool, len(entries))
-	last := make(map[ServerID]int, len(entries))
+func (b *Balancer) AcceptedEntries(now time.Duration, origin Origin, entries []Entry) []bool {
+	b.followSource(now, origin)
+	accepted := make([]bool, len(entries))
+	latestIndex := make(map[ServerID]int, len(entries))
 	for i, e := range entries {
-		if b.formerLife(now, origin, e) {
+		if b.isFormerIncarnation(now, origin, e) {
 			continue
 		}
-		if j, named := last[e.Server]; named {
-			if e.Started < entries[j].Started {
+		if j, isNamed := latestIndex[e.Server]; isNamed {
+			if e.StartedAt < entries[j].StartedAt {
 				continue
 			}
-			counts[j] = false
+			accepted[j] = false
 		}
-		counts[i], last[e.Server] = true, i
+		accepted[i], latestIndex[e.Server] = true, i
 	}
-	return counts
+	return accepted
 }
 
 // formerLife tells whether a line is about an earlier start of its server than the one that is known.
-func (b *Balancer) formerLife(now time.Duration, origin Origin, e Entry) bool {
-	line, listed := b.directory.Get(e.Server)
-	if !listed || e.Started >= line.Started || e.Started == 0 && e.State != Ready {
+func (b *Balancer) isFormerIncarnation(now time.Duration, origin Origin, e Entry) bool {
+	listed, isListed := b.serverList.Get(e.Server)
+	if !isListed || e.StartedAt >= listed.StartedAt || e.StartedAt == 0 && e.State != StateInService {
 		return false // a line without a date may be about any start
 	}
-	later := origin.Source == line.origin.Source && origin.Version > line.origin.Version
-	return !later && now < max(line.toldAt, b.sourceSince)+catchUpMost
+	isLater := origin.Source == listed.origin.Source && origin.Version > listed.origin.Version
+	return !isLater && now < max(listed.heardAt, b.sourceFollowedSince)+maxReplicaLag
 }
 
 // releaseHeld puts servers into service that changes of the present source since a version leave as they were:
@@ -226,32 +226,32 @@
 	if len(held) == 0 {
 		return
 	}
-	isNamed := serversOf(named)
+	isNamed := serverSet(named)
 	for _, server := range slices.Sorted(maps.Keys(held)) {
-		lifted := b.lift(server, func(n notice) bool {
-			spanned := n.undoneBy(origin) && (n.stale || since < n.origin.Version)
-			return n.kind == byPart && !isNamed[server] && spanned || b.caughtUp(now, n)
+		lifted := b.removeNotices(server, func(n notice) bool {
+			isSpanned := n.undoneBy(origin) && (n.stale || since < n.origin.Version)
+			return n.kind == noticeByPartialAnswer && !isNamed[server] && isSpanned || b.hasCaughtUp(now, n)
 		})
 		if !lifted {
 			continue
 		}
-		line := held[server]
+		entry := held[server]
 		delete(held, server)
-		b.update(now, ListDelta, line)
+		b.applyEntry(now, ListChanges, entry)
 	}
 }
 
 // leaving takes in what lines take out of service that are of an answer that is not whole, or can't be
 // taken: nothing else of it counts. Of a whole list of an earlier version, what it does not name is out too.
-func (b *Balancer) leaving(now time.Duration, origin Origin, kind ListKind, entries []Entry) {
+func (b *Balancer) applyPartial(now time.Duration, origin Origin, kind ListKind, entries []Entry) {
 	lost := false
 	for _, e := range entries {
-		if e.State != Ready && !b.formerLife(now, origin, e) {
-			lost = b.withdraw(now, origin, e.Server, e.Started) || lost
+		if e.State != StateInService && !b.isFormerIncarnation(now, origin, e) {
+			lost = b.takeOutOfService(now, origin, e.Server, e.StartedAt) || lost
 		}
 	}
 	if kind == ListOutdated {
-		lost = b.withdrawUnnamed(now, origin, entries) || lost
+		lost = b.takeUnnamedOutOfService(now, origin, entries) || lost
 	}
 	if lost {
 		b.choose(now)
@@ -259,33 +259,33 @@
 }
 
 // serversOf gives the servers that lines name.
-func serversOf(lines []Entry) map[ServerID]bool {
-	servers := make(map[ServerID]bool, len(lines))
-	for _, line := range lines {
-		servers[line.Server] = true
+func serverSet(entries []Entry) map[ServerID]bool {
+	servers := make(map[ServerID]bool, len(entries))
+	for _, entry := range entries {
+		servers[entry.Server] = true
 	}
 	return servers
 }
 
 // withdrawUnnamed takes servers out of service that a list does not name.
-func (b *Balancer) withdrawUnnamed(now time.Duration, origin Origin, entries []Entry) (lost bool) {
-	isNamed := serversOf(entries)
-	for _, line := range slices.Clone(b.directory.Entries) {
-		if !isNamed[line.Server] {
-			lost = b.withdraw(now, origin, line.Server, line.Started) || lost
+func (b *Balancer) takeUnnamedOutOfService(now time.Duration, origin Origin, entries []Entry) (lost bool) {
+	isNamed := serverSet(entries)
+	for _, listed := range slices.Clone(b.serverList.Entries) {
+		if !isNamed[listed.Server] {
+			lost = b.takeOutOfService(now, origin, listed.Server, listed.StartedAt) || lost
 		}
 	}
 	return lost
 }
 
 // withdraw takes a server out of service until a whole answer decides. It tells whether the subset lost it.
-func (b *Balancer) withdraw(now time.Duration, origin Origin, server ServerID, started time.Duration) (lost bool) {
-	b.recordOut(now, origin, server, started, byPart)
-	line, listed := b.directory.Get(server)
-	if !listed || line.State != Ready {
+func (b *Balancer) takeOutOfService(now time.Duration, origin Origin, server ServerID, startedAt time.Duration) (lost bool) {
+	b.recordOutOfService(now, origin, server, startedAt, noticeByPartialAnswer)
+	listed, isListed := b.serverList.Get(server)
+	if !isListed || listed.State != StateInService {
 		return false
 	}
-	b.tombstones.held[server] = line.statement
-	line.State = Draining
-	return b.update(now, ListDelta, line.statement)
+	b.tombstones.held[server] = listed.sourcedEntry
+	listed.State = StateDraining
+	return b.applyEntry(now, ListChanges, listed.sourcedEntry)
 }
