--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -91,15 +91,15 @@
 	case wire.Members:
 		inst.ListUpdated(b.Now, e.Kind, e.Entries)
 	case wire.Request:
-		inst.Request(b.Now, e.Request)
+		inst.RequestArrived(b.Now, e.Request)
 	case wire.Started:
-		inst.Started(b.Now, e.Outcome.ID, e.Outcome.Attempt)
+		inst.StreamStarted(b.Now, e.Outcome.ID, e.Outcome.Attempt)
 	case wire.Outcome:
-		inst.Outcome(b.Now, e.Outcome)
+		inst.AttemptEnded(b.Now, e.Outcome)
 	case wire.Left:
-		inst.Left(b.Now, e.Outcome.ID)
+		inst.ClientDisconnected(b.Now, e.Outcome.ID)
 	case wire.Timer:
-		inst.Timer(b.Now, e.Token)
+		inst.TimerFired(b.Now, e.Token)
 	}
 }
 
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -65,7 +65,7 @@
 	if c.Site, err = wire.ParseSite(file.Settings); err != nil {
 		return bad("settings", err)
 	}
-	if err := c.Site.Settings.Check(); err != nil {
+	if err := c.Site.Settings.Validate(); err != nil {
 		return bad("settings", err)
 	}
 	return c, nil
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -215,16 +215,16 @@
 		return q, nil, err
 	}
 	if hint != "" {
-		if q.Hint, err = number("X-Weight-Hint", hint, time.Microsecond); err != nil {
+		if q.WorkHint, err = number("X-Weight-Hint", hint, time.Microsecond); err != nil {
 			return q, nil, err
 		}
 	}
 	rules := f.site.Settings.Classes[q.Class]
 	switch method := r.Method; {
-	case rules.Effect == policy.Safe && method != http.MethodGet,
-		rules.Effect != policy.Safe && method != http.MethodPost:
+	case rules.Idempotency == policy.Idempotent && method != http.MethodGet,
+		rules.Idempotency != policy.Idempotent && method != http.MethodPost:
 		return q, nil, &clientError{http.StatusMethodNotAllowed, "method does not fit class " + class}
-	case (rules.Effect == policy.Keyed) != (idempotency != ""):
+	case (rules.Idempotency == policy.IdempotentByKey) != (idempotency != ""):
 		return q, nil, badRequest("Idempotency-Key does not fit class %q", class)
 	case method == http.MethodGet && r.ContentLength != 0:
 		return q, nil, badRequest("a GET has no body here")
--- a/internal/node/hollow_fleet_test.go
+++ b/internal/node/hollow_fleet_test.go
@@ -93,7 +93,7 @@
 	up := newUpstream(site.ConnIdle, site.ConnectTimeout, 0)
 	disco := newDiscovery(addr, site, c, log)
 	disco.client.Transport = countingTransport{&http.Transport{MaxIdleConnsPerHost: 1}, calls}
-	site.Settings.Node, site.Settings.LongPolling = number, true
+	site.Settings.NodeIndex, site.Settings.LongPolling = number, true
 	l, err := newLoop(site.Settings, uint64(number), c, up, disco.orders)
 	if err != nil {
 		tb.Fatal(err)
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -337,7 +337,7 @@
 	for _, r := range l.requests {
 		for _, a := range r.attempts {
 			if dropped[a.to] {
-				l.Withdraw(r.id, a.index)
+				l.CancelUnsent(r.id, a.index)
 			}
 		}
 	}
@@ -356,11 +356,11 @@
 		m.deadline = min(m.deadline, l.endBy)
 	}
 	left := max(0, m.deadline-l.now)
-	q.ID, q.Left = l.lastID, left-min(clientMargin, left/2)
-	r := &request{id: q.ID, message: m, answers: answers, end: l.now + q.Left}
+	q.ID, q.TimeLeft = l.lastID, left-min(clientMargin, left/2)
+	r := &request{id: q.ID, message: m, answers: answers, end: l.now + q.TimeLeft}
 	l.requests[r.id] = r
 	l.log.taken(r, q)
-	l.balancer.Request(l.now, q)
+	l.balancer.RequestArrived(l.now, q)
 	if !r.answered {
 		l.after(r.end, func() { l.expire(r) })
 		l.after(m.deadline-min(backstopMargin, left/4), func() { l.backstop(r) })
@@ -394,7 +394,7 @@
 func (l *loop) backstop(r *request) {
 	if !r.answered {
 		l.answer(r, answer{kind: overdue})
-		l.balancer.Left(l.now, r.id)
+		l.balancer.ClientDisconnected(l.now, r.id)
 		l.settle(r)
 	}
 }
@@ -404,7 +404,7 @@
 	if !r.answered {
 		r.answered = true
 		l.log.left(r)
-		l.balancer.Left(l.now, r.id)
+		l.balancer.ClientDisconnected(l.now, r.id)
 		l.settle(r)
 	}
 }
@@ -430,7 +430,7 @@
 // have run, and never will: its goroutine finds the phase changed.
 func (l *loop) abandon(a *attempt, status policy.Status) {
 	if a.phase.CompareAndSwap(unsent, abandoned) {
-		status = policy.Moot
+		status = policy.NotSent
 	}
 	l.outcome(a, status, l.now)
 }
@@ -446,7 +446,7 @@
 		switch {
 		case a.over:
 		case a.phase.CompareAndSwap(unsent, abandoned):
-			l.outcome(a, policy.Moot, l.now)
+			l.outcome(a, policy.NotSent, l.now)
 		case a.phase.CompareAndSwap(writing, abandoned):
 			a.cancel()
 		}
@@ -461,9 +461,9 @@
 	r.out--
 	l.checkDrain(a)
 	l.log.ended(a, status, at)
-	l.balancer.Outcome(l.now, policy.Outcome{
+	l.balancer.AttemptEnded(l.now, policy.Outcome{
 		ID: r.id, Attempt: a.index, Server: a.server, Status: status,
-		Ended: r.answered, Latency: max(0, at-a.sent),
+		RequestDone: r.answered, Latency: max(0, at-a.sent),
 	})
 	l.settle(r)
 }
@@ -517,7 +517,7 @@
 	a.to = to
 	if r.answered || !listed {
 		a.phase.Store(abandoned)
-		l.queue = append(l.queue, func() { l.outcome(a, policy.Moot, l.now) })
+		l.queue = append(l.queue, func() { l.outcome(a, policy.NotSent, l.now) })
 		return
 	}
 	l.log.sent(a, to)
@@ -539,7 +539,7 @@
 }
 
 // WriteBy implements policy.Host.
-func (l *loop) WriteBy(id policy.RequestID, at time.Duration) {
+func (l *loop) SetWriteDeadline(id policy.RequestID, at time.Duration) {
 	r := l.requests[id]
 	if r == nil {
 		return
@@ -555,10 +555,10 @@
 }
 
 // Withdraw implements policy.Host.
-func (l *loop) Withdraw(id policy.RequestID, index int) {
+func (l *loop) CancelUnsent(id policy.RequestID, index int) {
 	l.later(id, index, func(a *attempt) {
 		if a.phase.CompareAndSwap(unsent, abandoned) {
-			l.outcome(a, policy.Moot, l.now)
+			l.outcome(a, policy.NotSent, l.now)
 		}
 	})
 }
@@ -596,7 +596,7 @@
 
 // SetTimer implements policy.Host.
 func (l *loop) SetTimer(at time.Duration, token uint64) {
-	l.after(at, func() { l.balancer.Timer(l.now, token) })
+	l.after(at, func() { l.balancer.TimerFired(l.now, token) })
 }
 
 // Ready implements policy.Host.
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -738,7 +738,7 @@
 // Guards rule 3 where a list is learned between the pick and the first byte: the connection
 // that was late comes up when its server drains, and the request goes elsewhere.
 func TestLateConnectionToAServerThatDrains(t *testing.T) {
-	l, _, machine, done := lateConnect(t, 2, func(set *policy.Settings) { set.Limits.Cancel = false })
+	l, _, machine, done := lateConnect(t, 2, func(set *policy.Settings) { set.Limits.AllowCancel = false })
 	other := newServer(t, says(ok("2"), true))
 	l.post(func() {
 		l.hear(policy.ListChanges, []policy.Entry{{Server: 1, State: policy.StateDraining}, {Server: 2, State: policy.StateInService}},
@@ -762,7 +762,7 @@
 // where the settings allow no cancels.
 func TestClientLeavesDuringALateConnect(t *testing.T) {
 	for _, may := range []bool{false, true} {
-		l, r, _, _ := lateConnect(t, 0, func(set *policy.Settings) { set.Limits.Cancel = may })
+		l, r, _, _ := lateConnect(t, 0, func(set *policy.Settings) { set.Limits.AllowCancel = may })
 		over := make(chan bool, 1)
 		l.post(func() { l.left(r) })
 		l.post(func() { over <- !r.attempts[0].begin() && r.attempts[0].over && len(l.requests) == 0 })
@@ -791,11 +791,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			set := siteOf(t, settings).Settings
-			set.Limits.SecondCopies = late.which == 0
+			set.Limits.AllowHedging = late.which == 0
 			set.Classes = set.Classes[1:2]
 			c := &set.Classes[0]
-			c.Deadline, c.Window = time.Hour, time.Minute
-			c.Aim, c.AimStretch = 80*time.Millisecond, 3600 // repeats soon, and is of use for long
+			c.Deadline, c.DedupWindow = time.Hour, time.Minute
+			c.LatencyTarget, c.TargetWorkFactor = 80*time.Millisecond, 3600 // repeats soon, and is of use for long
 			l, err := newLoop(set, 1, newClock(), newUpstream(time.Hour, patience, 8), newCallOrders())
 			if err != nil {
 				t.Fatal(err)
@@ -806,12 +806,12 @@
 			done, sent := make(chan answer, 1), make(chan *request)
 			l.post(func() {
 				for range 10 { // each is refused and saves up a tenth of a second copy
-					l.balancer.Request(l.now, policy.Request{ID: 1 << 31})
+					l.balancer.RequestArrived(l.now, policy.Request{ID: 1 << 31})
 				}
 				l.hear(policy.ListWhole, []policy.Entry{{Server: 1, State: policy.StateInService}}, []string{one})
 				m := push()
 				m.body, m.deadline = make([]byte, 16<<20), l.now+time.Hour // more than buffers hold
-				sent <- l.submit(policy.Request{Hint: time.Second}, m, done)
+				sent <- l.submit(policy.Request{WorkHint: time.Second}, m, done)
 				l.hear(policy.ListChanges, []policy.Entry{{Server: 2, State: policy.StateInService}}, []string{two})
 			})
 			r := <-sent
@@ -826,9 +826,9 @@
 						r.attempts[1-late.which].phase.Load() == whole
 				})
 			})
-			l.post(func() { l.clock.start = l.clock.start.Add(-c.Window) }) // the window is over
-			look(func() bool { return true })                               // and its timer has fired
-			s := []func() *server{up1, up2}[late.which]()                   // what was late may come
+			l.post(func() { l.clock.start = l.clock.start.Add(-c.DedupWindow) }) // the window is over
+			look(func() bool { return true })                                    // and its timer has fired
+			s := []func() *server{up1, up2}[late.which]()                        // what was late may come
 			waitFor(t, "end of the attempt", func() bool { return look(func() bool { return r.attempts[late.which].over }) })
 			if n := s.requests.Load(); n != 0 {
 				t.Errorf("%d requests past the window", n)
--- a/internal/node/request_log.go
+++ b/internal/node/request_log.go
@@ -29,7 +29,7 @@
 
 func (g *requestLog) taken(r *request, q policy.Request) {
 	if g.enabled {
-		g.log.Debug("request taken", "request", requestName(r), "number", r.id, "class", q.Class, "left", q.Left)
+		g.log.Debug("request taken", "request", requestName(r), "number", r.id, "class", q.Class, "left", q.TimeLeft)
 	}
 }
 
--- a/internal/node/spoilt_test.go
+++ b/internal/node/spoilt_test.go
@@ -66,7 +66,7 @@
 		closed <- n
 		return false
 	})
-	if p := testUpstream(t, 8).roundTrip(t.Context(), at(s.addr), get(), patience, yes); p.status != policy.Reset {
+	if p := testUpstream(t, 8).roundTrip(t.Context(), at(s.addr), get(), patience, yes); p.status != policy.ConnectionReset {
 		t.Errorf("status %d, want a reset", p.status)
 	}
 	select {
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -128,14 +128,14 @@
 	c, err := u.get(ctx, to)
 	switch {
 	case errors.Is(err, errNoSockets) || isAny(err, localFailures):
-		return reply{status: policy.Moot} // our own limits say nothing of the server
+		return reply{status: policy.NotSent} // our own limits say nothing of the server
 	case err != nil:
 		return reply{status: policy.ConnectFailed}
 	}
 	release := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) }) // wakes reads and writes
 	if !may.begin() {
 		u.put(c, release())
-		return reply{status: policy.Moot}
+		return reply{status: policy.NotSent}
 	}
 	if _, err := c.Write(m.encode(max(0, wait-time.Since(began)))); err != nil {
 		release()
@@ -156,16 +156,16 @@
 		func() { c.limit(ctx, time.Time{}) },
 		func() { c.limit(ctx, time.Now().Add(stallFor)) })
 	if err != nil {
-		return reply{status: policy.Reset}, false
+		return reply{status: policy.ConnectionReset}, false
 	}
 	turnedAway := a.code == http.StatusServiceUnavailable || a.code == http.StatusGatewayTimeout
 	switch {
 	case a.code == http.StatusOK:
 		p = reply{status: policy.OK, contentType: a.header.Get("Content-Type"), body: a.body}
 	case turnedAway && a.header.Get("X-Unprocessed") == "1":
-		p.status = policy.Full
+		p.status = policy.Rejected
 	default:
-		p.status = policy.Error
+		p.status = policy.ServerError
 		p.rejected = a.code/100 == 4 && a.code != http.StatusRequestTimeout && a.code != http.StatusTooManyRequests
 	}
 	c.limit(ctx, time.Time{})
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -142,34 +142,34 @@
 		"served in chunks":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", true, policy.OK, 1},
 		"served, then closed":       {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello", false, policy.OK, 0},
 		"served with more behind":   {ok("hello") + spare, true, policy.OK, 0},
-		"error":                     {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", true, policy.Error, 1},
-		"turned away":               {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", true, policy.Full, 1},
-		"turned away as over":       {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", true, policy.Full, 1},
-		"unmarked 503 may have run": {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", true, policy.Error, 1},
-		"marked 500 may have run":   {"HTTP/1.1 500 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", true, policy.Error, 1},
-		"closed after the request":  {"", false, policy.Reset, 0},
-		"ends in the body":          {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", false, policy.Reset, 0},
-		"no HTTP":                   {"\x00\x01\x02 nothing\r\n\r\n", true, policy.Reset, 0},
-		"head without end":          {"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", maxAnswerHead+maxBody), true, policy.Reset, 0},
-		"many short header lines":   {"HTTP/1.1 200 OK\r\n" + strings.Repeat("A: a\r\n", maxAnswerHead), true, policy.Reset, 0},
-		"head that stops":           {"HTTP/1.1 200 OK\r\nContent-Le", true, policy.Reset, 0},
-		"body that stops":           {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", true, policy.Reset, 0},
-		"chunks that stop":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", true, policy.Reset, 0},
-		"chunks that can't be read": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nhello\r\n0\r\n\r\n", true, policy.Reset, 0},
-		"no length":                 {head("A: b"), true, policy.Reset, 0},
-		"no length, then closed":    {head("Connection: close"), false, policy.Reset, 0},
-		"both lengths":              {head("Content-Length: 5\r\nTransfer-Encoding: chunked"), true, policy.Reset, 0},
-		"two lengths":               {head("Content-Length: 5\r\nContent-Length: 4"), true, policy.Reset, 0},
-		"negative length":           {head("Content-Length: -5"), true, policy.Reset, 0},
-		"length no number":          {head("Content-Length: five"), true, policy.Reset, 0},
-		"line with no colon":        {head("no colon\r\nContent-Length: 5"), true, policy.Reset, 0},
-		"code no number":            {"HTTP/1.1 2x0 OK\r\nContent-Length: 5\r\n\r\nhello", true, policy.Reset, 0},
-		"code behind its text":      {"HTTP/1.1 OK 200\r\nContent-Length: 5\r\n\r\nhello", true, policy.Reset, 0},
-		"other protocol":            {"ICY 200 OK\r\nContent-Length: 5\r\n\r\nhello", true, policy.Reset, 0},
-		"interim without end":       {strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 20) + ok("hello"), true, policy.Reset, 0},
-		"switches protocols":        {"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n", true, policy.Reset, 0},
+		"error":                     {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", true, policy.ServerError, 1},
+		"turned away":               {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", true, policy.Rejected, 1},
+		"turned away as over":       {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", true, policy.Rejected, 1},
+		"unmarked 503 may have run": {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", true, policy.ServerError, 1},
+		"marked 500 may have run":   {"HTTP/1.1 500 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", true, policy.ServerError, 1},
+		"closed after the request":  {"", false, policy.ConnectionReset, 0},
+		"ends in the body":          {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", false, policy.ConnectionReset, 0},
+		"no HTTP":                   {"\x00\x01\x02 nothing\r\n\r\n", true, policy.ConnectionReset, 0},
+		"head without end":          {"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", maxAnswerHead+maxBody), true, policy.ConnectionReset, 0},
+		"many short header lines":   {"HTTP/1.1 200 OK\r\n" + strings.Repeat("A: a\r\n", maxAnswerHead), true, policy.ConnectionReset, 0},
+		"head that stops":           {"HTTP/1.1 200 OK\r\nContent-Le", true, policy.ConnectionReset, 0},
+		"body that stops":           {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", true, policy.ConnectionReset, 0},
+		"chunks that stop":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", true, policy.ConnectionReset, 0},
+		"chunks that can't be read": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nhello\r\n0\r\n\r\n", true, policy.ConnectionReset, 0},
+		"no length":                 {head("A: b"), true, policy.ConnectionReset, 0},
+		"no length, then closed":    {head("Connection: close"), false, policy.ConnectionReset, 0},
+		"both lengths":              {head("Content-Length: 5\r\nTransfer-Encoding: chunked"), true, policy.ConnectionReset, 0},
+		"two lengths":               {head("Content-Length: 5\r\nContent-Length: 4"), true, policy.ConnectionReset, 0},
+		"negative length":           {head("Content-Length: -5"), true, policy.ConnectionReset, 0},
+		"length no number":          {head("Content-Length: five"), true, policy.ConnectionReset, 0},
+		"line with no colon":        {head("no colon\r\nContent-Length: 5"), true, policy.ConnectionReset, 0},
+		"code no number":            {"HTTP/1.1 2x0 OK\r\nContent-Length: 5\r\n\r\nhello", true, policy.ConnectionReset, 0},
+		"code behind its text":      {"HTTP/1.1 OK 200\r\nContent-Length: 5\r\n\r\nhello", true, policy.ConnectionReset, 0},
+		"other protocol":            {"ICY 200 OK\r\nContent-Length: 5\r\n\r\nhello", true, policy.ConnectionReset, 0},
+		"interim without end":       {strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 20) + ok("hello"), true, policy.ConnectionReset, 0},
+		"switches protocols":        {"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n", true, policy.ConnectionReset, 0},
 		"odd load report":           {head("X-Backend-Load: {\"%%=,\r\nContent-Length: 5"), true, policy.OK, 1},
-		"body over the limit":       {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("a", maxBody+1), true, policy.Reset, 0},
+		"body over the limit":       {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("a", maxBody+1), true, policy.ConnectionReset, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, u := newServer(t, says(c.text, c.keep)), testUpstream(t, 8)
@@ -288,7 +288,7 @@
 				t.Fatalf("status %d, want served", p.status)
 			}
 			u.settle()
-			if p := u.roundTrip(t.Context(), at(s.addr), m, time.Second, yes); p.status != policy.Reset {
+			if p := u.roundTrip(t.Context(), at(s.addr), m, time.Second, yes); p.status != policy.ConnectionReset {
 				t.Errorf("status %d, want reset", p.status)
 			}
 			if n, c := s.requests.Load(), s.conns.Load(); n != 2 || c != 1 {
@@ -339,7 +339,7 @@
 // Guards against an attempt going out after the loop gave it up.
 func TestNothingIsWrittenOnceGivenUp(t *testing.T) {
 	s, u := newServer(t, says(ok("x"), true)), testUpstream(t, 8)
-	if p := u.roundTrip(t.Context(), at(s.addr), push(), time.Second, always(false)); p.status != policy.Moot {
+	if p := u.roundTrip(t.Context(), at(s.addr), push(), time.Second, always(false)); p.status != policy.NotSent {
 		t.Errorf("status %d, want never sent", p.status)
 	}
 	// The connection is as good as new; the next request is the first on it.
@@ -368,7 +368,7 @@
 	done := make(chan reply, 1)
 	go func() { done <- u.roundTrip(context.Background(), at(busy.addr), get(), time.Second, yes) }()
 	waitFor(t, "the request at the busy server", func() bool { return busy.requests.Load() == 1 })
-	if p := u.roundTrip(t.Context(), at(quick.addr), get(), time.Second, yes); p.status != policy.Moot {
+	if p := u.roundTrip(t.Context(), at(quick.addr), get(), time.Second, yes); p.status != policy.NotSent {
 		t.Errorf("status %d beyond the cap, want never sent", p.status)
 	}
 	close(hold)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -129,23 +129,23 @@
 
 func (j *settingsJSON) policy() (policy.Settings, error) {
 	s := policy.Defaults()
-	set(&s.Nodes, j.Balancers)
-	set(&s.Node, j.Me)
-	set(&s.OverShareWorth, j.OverShareWorth)
+	set(&s.NodeCount, j.Balancers)
+	set(&s.NodeIndex, j.Me)
+	set(&s.OverQuotaValueShare, j.OverShareWorth)
 	set(&s.Limits.MaxAttempts, j.Limits.MaxAttempts)
-	set(&s.Rules.ColdFrom, j.Contract.ColdFrom)
-	set(&s.Rules.FallMultiple, j.Contract.FallMultiple)
-	s.Prices = policy.Prices{Waste: j.Deductions.Waste, LateFail: j.Deductions.LateFail}
+	set(&s.Rules.ColdCapacityShare, j.Contract.ColdFrom)
+	set(&s.Rules.OverloadMultiple, j.Contract.FallMultiple)
+	s.Penalties = policy.Penalties{WastedWork: j.Deductions.Waste, LateFailure: j.Deductions.LateFail}
 	s.Zone = j.Locality
-	s.WarmKeys = j.Extra.WarmKeys
-	s.WorthByWork = j.CountedBy == "work"
-	s.Limits.Cancel, s.Limits.SecondCopies = j.Limits.Cancel, j.Limits.SecondCopies
+	s.KeyAffinity = j.Extra.WarmKeys
+	s.ValueByWork = j.CountedBy == "work"
+	s.Limits.AllowCancel, s.Limits.AllowHedging = j.Limits.Cancel, j.Limits.SecondCopies
 	if j.Limits.RetryAfter {
 		s.Limits.MaxRetryAfter = j.Limits.MaxRetryAfterMs.or(0)
 	}
-	s.Rules.ColdFor = j.Contract.ColdMs.or(s.Rules.ColdFor)
-	s.Rules.FallFor = j.Contract.FallMs.or(s.Rules.FallFor)
-	s.Rules.MustAsk = j.Contract.MustAskInMs.or(s.Rules.MustAsk)
+	s.Rules.ColdDuration = j.Contract.ColdMs.or(s.Rules.ColdDuration)
+	s.Rules.OverloadDuration = j.Contract.FallMs.or(s.Rules.OverloadDuration)
+	s.Rules.MaxCallInterval = j.Contract.MustAskInMs.or(s.Rules.MaxCallInterval)
 	s.Rules.DrainGrace = j.Contract.DrainGraceMs.or(s.Rules.DrainGrace)
 	var ok bool
 	if s.ListOnRequest, ok = word(j.RegistryMode, map[string]bool{"": false, "pushed": false, "on_request": true}); !ok {
@@ -153,34 +153,34 @@
 	}
 	for i, c := range j.Classes {
 		p := policy.Class{
-			Deadline: c.DeadlineMs.or(0), Aim: c.PromiseMs.or(c.DeadlineMs.or(0)), AimStretch: c.AimStretch,
-			LateWorth: c.LateWorth, Worth: 1, Window: c.KeyTtlMs.or(0), Stream: c.Streaming,
+			Deadline: c.DeadlineMs.or(0), LatencyTarget: c.PromiseMs.or(c.DeadlineMs.or(0)), TargetWorkFactor: c.AimStretch,
+			LateValueShare: c.LateWorth, Value: 1, DedupWindow: c.KeyTtlMs.or(0), Streaming: c.Streaming,
 		}
-		set(&p.Worth, c.Importance)
-		if p.Effect, ok = word(c.Effect, effects); !ok {
+		set(&p.Value, c.Importance)
+		if p.Idempotency, ok = word(c.Effect, effects); !ok {
 			return s, fmt.Errorf("settings: Classes[%d].Effect: unknown word %q", i, c.Effect)
 		}
-		if p.Scope, ok = word(c.DedupScope, scopes); !ok {
+		if p.DedupScope, ok = word(c.DedupScope, scopes); !ok {
 			return s, fmt.Errorf("settings: Classes[%d].DedupScope: unknown word %q", i, c.DedupScope)
 		}
 		s.Classes = append(s.Classes, p)
 	}
 	for _, t := range j.Accounts {
-		s.Tenants = append(s.Tenants, policy.Tenant{QuotaPerS: t.QuotaPerS})
+		s.Tenants = append(s.Tenants, policy.Tenant{QuotaPerSecond: t.QuotaPerS})
 	}
-	if math.IsNaN(s.OverShareWorth) {
+	if math.IsNaN(s.OverQuotaValueShare) {
 		return s, fmt.Errorf("settings: OverShareWorth: not a number")
 	}
 	return s, nil
 }
 
-var effects = map[string]policy.Effect{
-	"pure": policy.Safe, "token": policy.Keyed, "side_effect": policy.Unsafe, "": policy.Unsafe,
+var effects = map[string]policy.Idempotency{
+	"pure": policy.Idempotent, "token": policy.IdempotentByKey, "side_effect": policy.NonIdempotent, "": policy.NonIdempotent,
 }
 
 // An absent scope is the narrowest.
-var scopes = map[string]policy.Scope{
-	"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell, "": policy.ScopeCell,
+var scopes = map[string]policy.DedupScope{
+	"all": policy.DedupAllServers, "zone": policy.DedupZone, "cell": policy.DedupCell, "": policy.DedupCell,
 }
 
 func word[T any](w string, words map[string]T) (T, bool) {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -144,8 +144,8 @@
 }
 
 var statuses = map[uint16]policy.Status{
-	200: policy.OK, 502: policy.Error, 429: policy.Full, 408: policy.Timeout,
-	521: policy.ConnectFailed, 520: policy.Reset, 444: policy.Cancelled, 409: policy.Moot,
+	200: policy.OK, 502: policy.ServerError, 429: policy.Rejected, 408: policy.Timeout,
+	521: policy.ConnectFailed, 520: policy.ConnectionReset, 444: policy.Cancelled, 409: policy.NotSent,
 }
 
 // Event decodes record i of the batch into e.
@@ -189,7 +189,7 @@
 			hint = 0
 		}
 		e.Request = policy.Request{
-			ID: policy.RequestID(u32(1)), Class: int(rec[5]), Tenant: int(u16(6)), Key: u64(8), Left: left, Hint: hint,
+			ID: policy.RequestID(u32(1)), Class: int(rec[5]), Tenant: int(u16(6)), Key: u64(8), TimeLeft: left, WorkHint: hint,
 		}
 	case Started:
 		e.Outcome = policy.Outcome{ID: policy.RequestID(u32(1)), Attempt: int(u16(5)), Server: serverID(rec[15:])}
@@ -203,7 +203,7 @@
 			return fail("latency", f64(16))
 		}
 		e.Outcome = policy.Outcome{
-			ID: policy.RequestID(u32(1)), Status: status, Ended: rec[7] != 0,
+			ID: policy.RequestID(u32(1)), Status: status, RequestDone: rec[7] != 0,
 			Server: serverID(rec[8:]), Attempt: int(u16(14)), Latency: latency,
 		}
 	case Left:
@@ -327,11 +327,11 @@
 
 // Withdraw implements policy.Host. The simulator's attempts begin as they are sent: there is
 // nothing to take back.
-func (r *Reply) Withdraw(policy.RequestID, int) {}
+func (r *Reply) CancelUnsent(policy.RequestID, int) {}
 
 // WriteBy implements policy.Host. The simulator's attempts count as written as they are sent:
 // none is late.
-func (r *Reply) WriteBy(policy.RequestID, time.Duration) {}
+func (r *Reply) SetWriteDeadline(policy.RequestID, time.Duration) {}
 
 // Refuse implements policy.Host.
 func (r *Reply) Refuse(id policy.RequestID, retryAfter time.Duration, _ policy.Reason) {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -80,7 +80,7 @@
 		t.Fatalf("instance %d, token %d, last code %d", events[0].Instance, events[2].Token, events[7].Code)
 	}
 	wantRequest := policy.Request{ID: 0x5d3a91c4, Tenant: 1, Key: 0x91f03b7c55d20a64,
-		Left: 240 * time.Millisecond, Hint: 12 * time.Millisecond}
+		TimeLeft: 240 * time.Millisecond, WorkHint: 12 * time.Millisecond}
 	if events[1].Request != wantRequest {
 		t.Errorf("request %+v, want %+v", events[1].Request, wantRequest)
 	}
@@ -94,7 +94,7 @@
 		list.Entries[1] != want[1] {
 		t.Errorf("list %d %+v, want %+v", list.Kind, list.Entries, want)
 	}
-	wantOutcome := policy.Outcome{ID: 0x5d3a91c4, Server: server, Status: policy.OK, Ended: true,
+	wantOutcome := policy.Outcome{ID: 0x5d3a91c4, Server: server, Status: policy.OK, RequestDone: true,
 		Latency: 18500 * time.Microsecond}
 	if events[4].Outcome != wantOutcome {
 		t.Errorf("outcome %+v, want %+v", events[4].Outcome, wantOutcome)
@@ -215,19 +215,19 @@
 		t.Fatal(err)
 	}
 	c := s.Classes[0]
-	if s.Nodes != 2 || s.Node != 1 || s.Zone != 1 || !s.WorthByWork || !s.ListOnRequest || !s.WarmKeys ||
-		s.OverShareWorth != 0.05 ||
-		s.Tenants[0].QuotaPerS != 84 || c.Effect != policy.Keyed || c.Scope != policy.ScopeZone ||
-		c.Window != 5*time.Second || c.Aim != 580*time.Millisecond || c.LateWorth != 0.5 || !c.Stream ||
-		c.AimStretch != 4 ||
-		s.Limits != (policy.Limits{MaxAttempts: 4, SecondCopies: true, Cancel: true,
+	if s.NodeCount != 2 || s.NodeIndex != 1 || s.Zone != 1 || !s.ValueByWork || !s.ListOnRequest || !s.KeyAffinity ||
+		s.OverQuotaValueShare != 0.05 ||
+		s.Tenants[0].QuotaPerSecond != 84 || c.Idempotency != policy.IdempotentByKey || c.DedupScope != policy.DedupZone ||
+		c.DedupWindow != 5*time.Second || c.LatencyTarget != 580*time.Millisecond || c.LateValueShare != 0.5 || !c.Streaming ||
+		c.TargetWorkFactor != 4 ||
+		s.Limits != (policy.Limits{MaxAttempts: 4, AllowHedging: true, AllowCancel: true,
 			MaxRetryAfter: 600 * time.Millisecond}) ||
-		s.Prices != (policy.Prices{Waste: 0.2, LateFail: 0.08}) ||
-		s.Rules.FallMultiple != 3 || s.Rules.ColdFor != 8800*time.Millisecond || s.Rules.MustAsk != 9*time.Second {
+		s.Penalties != (policy.Penalties{WastedWork: 0.2, LateFailure: 0.08}) ||
+		s.Rules.OverloadMultiple != 3 || s.Rules.ColdDuration != 8800*time.Millisecond || s.Rules.MaxCallInterval != 9*time.Second {
 		t.Errorf("settings %+v", s)
 	}
-	if d := s.Classes[1]; d.Effect != policy.Unsafe || d.Scope != policy.ScopeCell ||
-		d.Aim != d.Deadline || d.Worth != 1 {
+	if d := s.Classes[1]; d.Idempotency != policy.NonIdempotent || d.DedupScope != policy.DedupCell ||
+		d.LatencyTarget != d.Deadline || d.Value != 1 {
 		t.Errorf("class without most keys %+v: not the safe defaults", d)
 	}
 }
@@ -239,8 +239,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.Nodes != 300 || s.Node >= 0 {
-		t.Errorf("node %d of %d, want none", s.Node, s.Nodes)
+	if s.NodeCount != 300 || s.NodeIndex >= 0 {
+		t.Errorf("node %d of %d, want none", s.NodeIndex, s.NodeCount)
 	}
 }
 
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -14,7 +14,7 @@
 
 // thin tells that nodes outnumber servers: a fair bound in flight would be below one
 // request a server here, too coarse to steer by, and one stuck attempt would use it up.
-func (b *Balancer) thin() bool { return b.set.Nodes > b.serverList.inServiceCount }
+func (b *Balancer) thin() bool { return b.settings.NodeCount > b.serverList.inServiceCount }
 
 // admit is the load shedding of a thin node: it steers the share of its requests that go out so that answers
 // take about half of their aim, and refuses the rest at once. What lies beyond a tenant's share goes first.
@@ -31,7 +31,7 @@
 // late, turned away or timed out. More for a time-out kept the share of a node with few answers low.
 func (b *Balancer) press(now time.Duration, r *request, o Outcome) {
 	ratio := o.Latency.Seconds() / r.class.patience
-	if o.Status == Full || o.Status == Timeout {
+	if o.Status == Rejected || o.Status == Timeout {
 		ratio = max(ratio, 1)
 	}
 	b.adjust(now)
@@ -44,9 +44,9 @@
 // the answers so far tells of a crowd before its own answer does, unless its server is silent.
 func (b *Balancer) pressureAhead(now time.Duration) float64 {
 	pressure := b.pressure
-	for _, r := range b.open {
-		if last := len(r.attempts) - 1; r.out > 0 && !r.stream && !r.attempts[last].silent {
-			ratio := (now - r.attempts[last].sent).Seconds() / r.class.patience
+	for _, r := range b.activeRequests {
+		if last := len(r.attempts) - 1; r.inFlight > 0 && !r.streaming && !r.attempts[last].unresponsive {
+			ratio := (now - r.attempts[last].sentAt).Seconds() / r.class.patience
 			pressure += max(0, min(ratio, 1)-pressure) * pressureMost / pressureOver
 		}
 	}
--- a/policy/api.go
+++ b/policy/api.go
@@ -17,83 +17,83 @@
 type ServerID uint64
 
 // Effect tells what a repeat of a request would do.
-type Effect uint8
+type Idempotency uint8
 
 // The effects of a class.
 const (
-	Safe   Effect = iota // may be repeated freely
-	Keyed                // repeats are dropped inside Class.Scope for Class.Window
-	Unsafe               // must never run twice
+	Idempotent      Idempotency = iota // may be repeated freely
+	IdempotentByKey                    // repeats are dropped inside Class.Scope for Class.Window
+	NonIdempotent                      // must never run twice
 )
 
 // Scope is the group of servers that drops the repeats of a keyed request.
-type Scope uint8
+type DedupScope uint8
 
 // The scopes of a keyed class.
 const (
-	ScopeAll  Scope = iota // every server
-	ScopeZone              // the servers of one zone
-	ScopeCell              // the servers of one cell
+	DedupAllServers DedupScope = iota // every server
+	DedupZone                         // the servers of one zone
+	DedupCell                         // the servers of one cell
 )
 
 // Class is a class of requests.
 type Class struct {
-	Deadline   time.Duration // a client's whole patience, over all of its tries
-	Aim        time.Duration // an answer inside it earns its full worth; 0: the deadline
-	AimStretch float64       // if set, this multiple of the request's own work is added to the aim
-	LateWorth  float64       // share of the worth that a later answer earns
-	Worth      float64       // worth of one request, or of one unit of work
-	Effect     Effect
-	Scope      Scope         // for Keyed
-	Window     time.Duration // for Keyed: how long repeats are dropped, from the first send
-	Stream     bool          // the answer is a stream; see Balancer.Started
+	Deadline         time.Duration // a client's whole patience, over all of its tries
+	LatencyTarget    time.Duration // an answer inside it earns its full worth; 0: the deadline
+	TargetWorkFactor float64       // if set, this multiple of the request's own work is added to the aim
+	LateValueShare   float64       // share of the worth that a later answer earns
+	Value            float64       // worth of one request, or of one unit of work
+	Idempotency      Idempotency
+	DedupScope       DedupScope    // for Keyed
+	DedupWindow      time.Duration // for Keyed: how long repeats are dropped, from the first send
+	Streaming        bool          // the answer is a stream; see Balancer.Started
 }
 
 // Tenant is a party with a share in the fleet.
 type Tenant struct {
-	QuotaPerS float64 // requests a second, over all nodes; 0: no limit
+	QuotaPerSecond float64 // requests a second, over all nodes; 0: no limit
 }
 
 // Limits is what a site permits.
 type Limits struct {
 	MaxAttempts   int           // attempts for one request
-	SecondCopies  bool          // two attempts of a request may be out together
-	Cancel        bool          // Host.Cancel may be used
+	AllowHedging  bool          // two attempts of a request may be out together
+	AllowCancel   bool          // Host.Cancel may be used
 	MaxRetryAfter time.Duration // the longest wait that clients heed; 0: they heed none
 }
 
 // Rules holds the figures of the rules that a node keeps on its own.
 type Rules struct {
-	ColdFrom     float64       // a server starts at this share of its capacity or above
-	ColdFor      time.Duration // and is warm after this at most
-	FallMultiple float64       // a cold server sent more than this multiple of its present capacity
-	FallFor      time.Duration // for this long falls over
-	MustAsk      time.Duration // with ListAsked: the longest time without asking
-	DrainGrace   time.Duration // a server told to drain may be sent to for so long
+	ColdCapacityShare float64       // a server starts at this share of its capacity or above
+	ColdDuration      time.Duration // and is warm after this at most
+	OverloadMultiple  float64       // a cold server sent more than this multiple of its present capacity
+	OverloadDuration  time.Duration // for this long falls over
+	MaxCallInterval   time.Duration // with ListAsked: the longest time without asking
+	DrainGrace        time.Duration // a server told to drain may be sent to for so long
 }
 
 // Prices is what a site takes off its service, as shares of it.
-type Prices struct {
-	Waste    float64 // for work that served nothing, as much as all that was asked for
-	LateFail float64 // for all requests failing after their aim
+type Penalties struct {
+	WastedWork  float64 // for work that served nothing, as much as all that was asked for
+	LateFailure float64 // for all requests failing after their aim
 }
 
 // Settings is what an instance is told at its start.
 type Settings struct {
-	Nodes             int // nodes of this tier, this one included
-	Node              int // the number of this one, from 0, the same after a restart; below 0: not known
-	Zone              int // where this node stands
-	Classes           []Class
-	Tenants           []Tenant
-	OverShareWorth    float64 // worth of a request beyond its tenant's share, as a share of its class's
-	WorthByWork       bool    // worth counts for each unit of work instead of for each request
-	WarmKeys          bool    // a server that met a key lately does less work for it
-	ListOnRequest     bool    // the server list comes only to those who watch it; else it is pushed
-	LongPolling       bool    // calls for the list end after a while and are made anew, see Call; else there is a subscription
-	ConfirmCachedList bool    // a list that was kept from before the start serves once it is confirmed; see Host.Ready
-	Limits            Limits
-	Rules             Rules
-	Prices            Prices
+	NodeCount           int // nodes of this tier, this one included
+	NodeIndex           int // the number of this one, from 0, the same after a restart; below 0: not known
+	Zone                int // where this node stands
+	Classes             []Class
+	Tenants             []Tenant
+	OverQuotaValueShare float64 // worth of a request beyond its tenant's share, as a share of its class's
+	ValueByWork         bool    // worth counts for each unit of work instead of for each request
+	KeyAffinity         bool    // a server that met a key lately does less work for it
+	ListOnRequest       bool    // the server list comes only to those who watch it; else it is pushed
+	LongPolling         bool    // calls for the list end after a while and are made anew, see Call; else there is a subscription
+	ConfirmCachedList   bool    // a list that was kept from before the start serves once it is confirmed; see Host.Ready
+	Limits              Limits
+	Rules               Rules
+	Penalties           Penalties
 }
 
 // State is what the list says of a server.
@@ -183,12 +183,12 @@
 
 // Request is a client's request as it comes in.
 type Request struct {
-	ID     RequestID
-	Class  int
-	Tenant int
-	Key    uint64        // equal keys: related requests; 0: none
-	Left   time.Duration // the client gives this try up after so long
-	Hint   time.Duration // rough cost in work; 0: unknown
+	ID       RequestID
+	Class    int
+	Tenant   int
+	Key      uint64        // equal keys: related requests; 0: none
+	TimeLeft time.Duration // the client gives this try up after so long
+	WorkHint time.Duration // rough cost in work; 0: unknown
 }
 
 // Status tells how an attempt ended.
@@ -196,19 +196,19 @@
 
 // The ends of an attempt.
 const (
-	OK            Status = iota // served
-	Error                       // the server answered with an error; may have run
-	Full                        // turned away unseen; has not run
-	Timeout                     // no answer in time; may have run or run still
-	ConnectFailed               // no connection; has not run
-	Reset                       // the connection dropped; may have run
-	Cancelled                   // cancelled; may have run
-	Moot                        // never sent; has not run
+	OK              Status = iota // served
+	ServerError                   // the server answered with an error; may have run
+	Rejected                      // turned away unseen; has not run
+	Timeout                       // no answer in time; may have run or run still
+	ConnectFailed                 // no connection; has not run
+	ConnectionReset               // the connection dropped; may have run
+	Cancelled                     // cancelled; may have run
+	NotSent                       // never sent; has not run
 )
 
 var statusNames = [...]string{
-	OK: "ok", Error: "error", Full: "full", Timeout: "timeout", ConnectFailed: "connect failed",
-	Reset: "reset", Cancelled: "cancelled", Moot: "moot",
+	OK: "ok", ServerError: "error", Rejected: "full", Timeout: "timeout", ConnectFailed: "connect failed",
+	ConnectionReset: "reset", Cancelled: "cancelled", NotSent: "moot",
 }
 
 // String names a status, for logs.
@@ -236,12 +236,12 @@
 
 // Outcome reports the end of one attempt. Each Host.Send is followed by one.
 type Outcome struct {
-	ID      RequestID
-	Attempt int // 0, 1, 2 ... in the order of the sends for this request
-	Server  ServerID
-	Status  Status
-	Ended   bool          // the request has its final answer, by this outcome or before
-	Latency time.Duration // time since the send
+	ID          RequestID
+	Attempt     int // 0, 1, 2 ... in the order of the sends for this request
+	Server      ServerID
+	Status      Status
+	RequestDone bool          // the request has its final answer, by this outcome or before
+	Latency     time.Duration // time since the send
 }
 
 // Host carries out the actions of a Balancer. Calls come from within the
@@ -252,12 +252,12 @@
 	// WriteBy sets an end to what the attempts of a request rest on, those to come and those
 	// that are out: a connection may come up long after the decision, and one whose last byte is
 	// not written by then is taken back. 0: there is no such end.
-	WriteBy(id RequestID, at time.Duration)
+	SetWriteDeadline(id RequestID, at time.Duration)
 	// Cancel stops waiting for an attempt that is out.
 	Cancel(id RequestID, attempt int)
 	// Withdraw takes back an attempt that is out and not begun, as one that waits for its
 	// connection: it ends as Moot. One that has begun goes on. It needs no permission.
-	Withdraw(id RequestID, attempt int)
+	CancelUnsent(id RequestID, attempt int)
 	// Refuse is a final answer and a promise: trying again does no harm.
 	Refuse(id RequestID, retryAfter time.Duration, reason Reason)
 	// Fail is a final answer that promises nothing.
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -7,64 +7,64 @@
 	"otterstep/internal/stats"
 )
 
-const sweepEvery = 10 * time.Millisecond
+const sweepInterval = 10 * time.Millisecond
 
 // The tokens of the timers.
 const tokenSweep, tokenCall, tokenReady, tokenServeUnconfirmed, tokenListDeadline = 0, 1, 2, 3, 4
 
 // Balancer decides for one node. Create it with New.
 type Balancer struct {
-	set      Settings
-	host     Host
-	observer Observer // or nil
-	rng      *rand.Rand
-	classes  []class
-	tenants  []stats.Bucket
+	settings     Settings
+	host         Host
+	observer     Observer // or nil
+	rng          *rand.Rand
+	classes      []class
+	tenantQuotas []stats.Bucket
 
-	allUnsafe   bool // no class may ever be repeated
-	boundToZone bool // there are classes whose repeats are bound to a zone,
-	boundToCell bool // or to a cell
+	allNonIdempotent bool // no class may ever be repeated
+	hasZoneDedup     bool // there are classes whose repeats are bound to a zone,
+	hasCellDedup     bool // or to a cell
 
-	serverList serverList
-	servers    map[ServerID]*server // those that this node has to do with
-	subset     []*server            // those that it works with, all of them ready
-	base       int                  // nodes that work with each server if all are like this one,
-	feeders    int                  // and with those of the subset if it was widened
-	wanted     float64              // servers that the load wants it to have
-	sends      int                  // attempts since countedAt
-	countedAt  time.Duration
-	weight     float64 // mean of the subset
-	usable     int     // closed or awaiting a trial, as of the last refresh
-	choices    []*server
-	keys       map[uint64]*server // who served a key last
+	serverList      serverList
+	servers         map[ServerID]*server // those that this node has to do with
+	subset          []*server            // those that it works with, all of them ready
+	base            int                  // nodes that work with each server if all are like this one,
+	feeders         int                  // and with those of the subset if it was widened
+	wanted          float64              // servers that the load wants it to have
+	sends           int                  // attempts since countedAt
+	countedAt       time.Duration
+	weight          float64 // mean of the subset
+	usableServers   int     // closed or awaiting a trial, as of the last refresh
+	candidates      []*server
+	lastServerByKey map[uint64]*server // who served a key last
 
-	requests map[RequestID]*request
-	open     []*request // those that are not done
-	held     []*request // those that wait for room, the most worth first
+	requests       map[RequestID]*request
+	activeRequests []*request // those that are not done
+	queue          []*request // those that wait for room, the most worth first
 
-	refreshed     time.Duration
-	meanSuccess   float64
-	meanLatency   float64     // multiple of a lone request's
-	demand        stats.Meter // work asked for
-	warm          int         // warm servers whose breaker is closed, as of the last refresh
-	warmRate      float64     // work a second sent to them
-	out           int         // own attempts in flight
-	limit         float64     // bound on them for each ready server; may be below one
-	loneSeen      int
-	crowded       bool
-	limitKnown    float64 // the highest lately without a crowd
-	typical       float64 // mean latency of late, seconds
-	steered       time.Duration
-	crowding      float64 // mean latency over a lone request's at the same server, as a logarithm
-	pressure      float64 // mean latency as a share of the aim
-	pressedAt     time.Duration
-	admitted      float64 // share of the requests that go out
-	overPart      float64 // share of the requests that lie beyond their tenant's share
-	copyTokens    float64
-	sweeping      bool
-	calls         callState
-	readyReported bool // the host was told Ready
-	serving       bool // requests are served
+	scoresUpdatedAt  time.Duration
+	meanSuccessRate  float64
+	meanLatencyRatio float64     // multiple of a lone request's
+	demand           stats.Meter // work asked for
+	warm             int         // warm servers whose breaker is closed, as of the last refresh
+	warmRate         float64     // work a second sent to them
+	out              int         // own attempts in flight
+	limit            float64     // bound on them for each ready server; may be below one
+	loneSeen         int
+	crowded          bool
+	limitKnown       float64 // the highest lately without a crowd
+	typical          float64 // mean latency of late, seconds
+	steered          time.Duration
+	crowding         float64 // mean latency over a lone request's at the same server, as a logarithm
+	pressure         float64 // mean latency as a share of the aim
+	pressedAt        time.Duration
+	admitted         float64 // share of the requests that go out
+	overPart         float64 // share of the requests that lie beyond their tenant's share
+	hedgeTokens      float64
+	sweepScheduled   bool
+	calls            callState
+	readyReported    bool // the host was told Ready
+	serving          bool // requests are served
 
 	listOrigin          Origin        // of the latest whole answer
 	changesBase         int64         // its version, for what spans the next changes
@@ -73,11 +73,11 @@
 }
 
 // Timer takes a timer set before; one that nobody needs any more does no harm.
-func (b *Balancer) Timer(now time.Duration, token uint64) {
+func (b *Balancer) TimerFired(now time.Duration, token uint64) {
 	switch token {
 	case tokenSweep:
-		b.sweeping = false
-		b.sweep(now)
+		b.sweepScheduled = false
+		b.sweepRequests(now)
 	case tokenCall:
 		b.callIfDue(now)
 	case tokenReady:
@@ -89,35 +89,35 @@
 	}
 }
 
-func (b *Balancer) sweepLater(now time.Duration) {
-	if !b.sweeping && len(b.open) > 0 {
-		b.sweeping = true
-		b.host.SetTimer(now+sweepEvery, tokenSweep)
+func (b *Balancer) scheduleSweep(now time.Duration) {
+	if !b.sweepScheduled && len(b.activeRequests) > 0 {
+		b.sweepScheduled = true
+		b.host.SetTimer(now+sweepInterval, tokenSweep)
 	}
 }
 
 // sweep looks at every open request: due retries, those held in vain, attempts out for too long.
-func (b *Balancer) sweep(now time.Duration) {
-	b.refresh(now)
-	b.shed(now)
-	for i := len(b.open) - 1; i >= 0; i-- { // finish moves the last one here, which was seen
-		r := b.open[i]
+func (b *Balancer) sweepRequests(now time.Duration) {
+	b.updateScores(now)
+	b.shedLateRequests(now)
+	for i := len(b.activeRequests) - 1; i >= 0; i-- { // finish moves the last one here, which was seen
+		r := b.activeRequests[i]
 		switch {
-		case r.stream:
-		case r.out > 0:
-			b.watch(now, r)
-		case now >= r.end:
-			b.giveUp(now, r, TooLate)
+		case r.streaming:
+		case r.inFlight > 0:
+			b.checkInFlight(now, r)
+		case now >= r.deadline:
+			b.refuseOrFail(now, r, TooLate)
 		case r.retryAt > 0 && now >= r.retryAt:
 			r.retryAt = 0
-			b.hold(r)
+			b.enqueue(r)
 		}
 	}
 	b.dispatch(now)
-	b.sweepLater(now)
+	b.scheduleSweep(now)
 }
 
 // jitter spreads a delay by a fifth either way, so that doubled delays still grow.
-func (b *Balancer) jitter(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (0.8 + 0.4*b.rng.Float64()))
+func (b *Balancer) jitter(delay time.Duration) time.Duration {
+	return time.Duration(float64(delay) * (0.8 + 0.4*b.rng.Float64()))
 }
--- a/policy/bound_test.go
+++ b/policy/bound_test.go
@@ -13,10 +13,10 @@
 	}
 }
 
-func newSteered(t *testing.T) (*rig, *Balancer) {
-	r := newRig(t, testSettings(), 4)
+func newSteered(t *testing.T) (*runner, *Balancer) {
+	r := newRunner(t, testSettings(), 4)
 	r.b.loneSeen, r.b.typical, r.b.steered = loneNeeded, 0.1, r.now
-	r.b.held = append(r.b.held, &request{done: true}) // someone waits
+	r.b.queue = append(r.b.queue, &request{done: true}) // someone waits
 	return r, r.b
 }
 
@@ -24,13 +24,13 @@
 func TestBoundGrowsOnlyWhileRequestsWait(t *testing.T) {
 	r, b := newSteered(t)
 	before := b.limit
-	waiting := b.held
-	b.held = nil
+	waiting := b.queue
+	b.queue = nil
 	steerFor(b, r.now, time.Second, 0)
 	if b.limit != before {
 		t.Fatalf("bound went from %v to %v though nothing waits", before, b.limit)
 	}
-	b.held = waiting
+	b.queue = waiting
 	steerFor(b, r.now+time.Second, time.Second, 0)
 	if b.limit <= before {
 		t.Fatal("bound did not grow while requests wait and servers are not crowded")
@@ -76,12 +76,12 @@
 // Guards against one request a server from each of many nodes, which is a crowd.
 func TestManyNodesHoldLessThanOneRequestAServer(t *testing.T) {
 	set := testSettings()
-	set.Nodes = 10
-	r := newRig(t, set, 20)
+	set.NodeCount = 10
+	r := newRunner(t, set, 20)
 	for range 50 {
-		r.request(0)
+		r.sendRequest(0)
 	}
-	if n := len(r.h.sends); n < 2 || n > 8 {
+	if n := len(r.host.sends); n < 2 || n > 8 {
 		t.Fatalf("%d requests in flight from one of ten nodes at twenty servers", n)
 	}
 }
@@ -89,12 +89,12 @@
 // Guards against a yardstick that grows with the crowd: alone among ours is not alone.
 func TestLoneLatenciesAreLearntOnlyInAQuietFleet(t *testing.T) {
 	set := testSettings()
-	set.Nodes = 7
-	r := newRig(t, set, 7)
+	set.NodeCount = 7
+	r := newRunner(t, set, 7)
 	r.b.limit = 2
 	lone := 0
 	for range 7 {
-		id := r.request(0)
+		id := r.sendRequest(0)
 		if a := &r.b.requests[id].attempts[0]; a.lone {
 			lone++
 		}
@@ -106,13 +106,13 @@
 
 // Guards against a class mean that moves on after servers were measured against it.
 func TestYardstickStaysOnceSettled(t *testing.T) {
-	r := newRig(t, testSettings(), 4)
-	r.serve(loneSettled, 0, 50*ms)
+	r := newRunner(t, testSettings(), 4)
+	r.serveRequests(loneSettled, 0, 50*ms)
 	want := r.b.classes[0].yardstick
 	if want == 0 {
 		t.Fatal("no yardstick after enough lone requests")
 	}
-	r.serve(50, 0, 150*ms)
+	r.serveRequests(50, 0, 150*ms)
 	if got := r.b.classes[0].yardstick; got != want {
 		t.Fatalf("yardstick moved from %v to %v", want, got)
 	}
@@ -123,9 +123,9 @@
 
 // Guards against a stop of all sends when servers that hold our attempts vanish.
 func TestAttemptsAtOpenServersDoNotFillTheBound(t *testing.T) {
-	r := newRig(t, testSettings(), 4)
+	r := newRunner(t, testSettings(), 4)
 	for range 4 {
-		r.request(0)
+		r.sendRequest(0)
 	}
 	for _, s := range r.b.subset[:2] {
 		for range failuresToOpen {
@@ -133,37 +133,37 @@
 		}
 	}
 	for _, s := range r.b.subset[2:] {
-		for _, a := range append([]*attempt(nil), s.out...) {
-			r.end(a.request.ID, OK, 10*ms)
+		for _, a := range append([]*attempt(nil), s.inFlight...) {
+			r.endAttempt(a.request.ID, OK, 10*ms)
 		}
 	}
-	if id := r.request(0); len(r.sendsOf(id)) != 1 {
+	if id := r.sendRequest(0); len(r.serversSentTo(id)) != 1 {
 		t.Fatal("a free server is left idle because open ones hold attempts")
 	}
 }
 
 func TestEqualServersGoByZone(t *testing.T) {
-	near, far := &server{near: true}, &server{}
-	if better(far, near) != near || better(near, far) != near {
+	near, far := &server{inOwnZone: true}, &server{}
+	if betterServer(far, near) != near || betterServer(near, far) != near {
 		t.Fatal("among equals the own zone must win")
 	}
-	near.out = append(near.out, &attempt{})
-	if better(near, far) != far {
+	near.inFlight = append(near.inFlight, &attempt{})
+	if betterServer(near, far) != far {
 		t.Fatal("fewer in flight must win over the zone")
 	}
 }
 
 func TestWarmServerIsOneOfTheTwo(t *testing.T) {
 	set := testSettings()
-	set.WarmKeys = true
-	r := newRig(t, set, 4) // one zone
+	set.KeyAffinity = true
+	r := newRunner(t, set, 4) // one zone
 	ask := func() ServerID {
-		r.next++
-		r.b.Request(r.now, Request{ID: r.next, Key: 42, Left: time.Second})
-		s := r.sendsOf(r.next)[0]
-		r.pass(10 * ms)
-		r.end(r.next, OK, 10*ms)
-		r.pass(10 * ms) // scores are brought up to date once an instant
+		r.lastID++
+		r.b.RequestArrived(r.now, Request{ID: r.lastID, Key: 42, TimeLeft: time.Second})
+		s := r.serversSentTo(r.lastID)[0]
+		r.advance(10 * ms)
+		r.endAttempt(r.lastID, OK, 10*ms)
+		r.advance(10 * ms) // scores are brought up to date once an instant
 		return s
 	}
 	first := ask()
@@ -176,15 +176,15 @@
 
 // Guards against ordering held requests by a guess that busy fleets never correct.
 func TestWorthForWorkFollowsAllAnswers(t *testing.T) {
-	r := newRig(t, testSettings(), 2)
+	r := newRunner(t, testSettings(), 2)
 	heavy := &request{class: &r.b.classes[0]}
 	for range 50 {
 		r.b.measure(&attempt{server: r.b.subset[0]}, heavy, 0.9) // never alone
 	}
-	r.request(0) // fills a server, as does the next
-	r.request(0)
-	a, b := r.request(0), r.request(1)
-	if x, y := r.b.requests[a], r.b.requests[b]; x == nil || y == nil || !y.before(x) {
+	r.sendRequest(0) // fills a server, as does the next
+	r.sendRequest(0)
+	a, b := r.sendRequest(0), r.sendRequest(1)
+	if x, y := r.b.requests[a], r.b.requests[b]; x == nil || y == nil || !y.precedes(x) {
 		t.Fatal("a class that takes longer for the same worth must come second")
 	}
 }
--- a/policy/callpace.go
+++ b/policy/callpace.go
@@ -104,11 +104,13 @@
 }
 
 // fleetSpan is the time that discovery takes for a call of each node.
-func (b *Balancer) fleetCallTime() time.Duration { return time.Duration(b.set.Nodes) * changesCallCost }
+func (b *Balancer) fleetCallTime() time.Duration {
+	return time.Duration(b.settings.NodeCount) * changesCallCost
+}
 
 // callSpan is the time that discovery takes for the calls of those nodes that start or fail together.
 func (b *Balancer) callSpread() time.Duration {
-	if !b.set.ListOnRequest {
+	if !b.settings.ListOnRequest {
 		return 0 // each has an agent of its own
 	}
 	return min(time.Duration(simultaneousShare*float64(b.fleetCallTime())), maxCallSpread, b.maxCallDelay())
@@ -116,7 +118,7 @@
 
 // mustCall is how long a node may take to call whatever else holds: it counts as told MustAsk after its
 // last call or the end of its watch. An eighth of that is left for the call itself.
-func (b *Balancer) maxCallDelay() time.Duration { return b.set.Rules.MustAsk * 7 / 8 }
+func (b *Balancer) maxCallDelay() time.Duration { return b.settings.Rules.MaxCallInterval * 7 / 8 }
 
 // firstSpan is the time over which the first calls of nodes that start together are spread. What a call
 // takes is not known then. Where a start has time for calls as dear as those for the whole list, which the
@@ -124,7 +126,7 @@
 func (b *Balancer) firstCallSpread(knowsServers bool) time.Duration {
 	wholeListSpread := time.Duration(simultaneousShare * float64(b.fleetWholeListTime()))
 	switch {
-	case !b.set.ListOnRequest:
+	case !b.settings.ListOnRequest:
 		return 0 // each has an agent of its own
 	case !knowsServers:
 		return min(b.fleetWholeListTime(), b.maxCallDelay(), maxCallPeriod)
@@ -136,7 +138,7 @@
 
 // brokenSpan is the time over which calls are spread after watches that broke, maybe those of all nodes.
 func (b *Balancer) brokenWatchSpread() time.Duration {
-	if !b.set.ListOnRequest {
+	if !b.settings.ListOnRequest {
 		return b.agentCallPeriod()
 	}
 	return max(b.callSpread(), firstBackoff)
@@ -144,7 +146,7 @@
 
 // agentPace is the time between two calls to an agent.
 func (b *Balancer) agentCallPeriod() time.Duration {
-	return min(max(b.set.Rules.DrainGrace/agentPeriodDivisor, minAgentCallPeriod), maxAgentCallPeriod)
+	return min(max(b.settings.Rules.DrainGrace/agentPeriodDivisor, minAgentCallPeriod), maxAgentCallPeriod)
 }
 
 // pace is the time between the newest call, which came to nothing, and the next one. crowded: it may have
@@ -152,7 +154,7 @@
 func (b *Balancer) retryInterval(now time.Duration, mayHaveQueued bool) time.Duration {
 	c := &b.calls
 	interval := b.backoffInterval()
-	if !b.set.ListOnRequest {
+	if !b.settings.ListOnRequest {
 		return interval
 	}
 	if mayHaveQueued {
@@ -169,9 +171,9 @@
 func (b *Balancer) backoffInterval() time.Duration {
 	calls := b.calls.callsSinceAnswer
 	switch {
-	case !b.set.ListOnRequest && calls <= quickAgentCalls:
+	case !b.settings.ListOnRequest && calls <= quickAgentCalls:
 		return b.agentCallPeriod() / agentPeriodDivisor
-	case !b.set.ListOnRequest:
+	case !b.settings.ListOnRequest:
 		return b.agentCallPeriod()
 	case b.calls.burstCallsLeft > 0:
 		return burstInterval
@@ -186,10 +188,10 @@
 // period is the time between two calls of a node whose list is not confirmed. A subscription tells what was
 // missed as it is asked for anew, and each time costs discovery a whole answer.
 func (b *Balancer) callPeriod() time.Duration {
-	if !b.set.LongPolling {
+	if !b.settings.LongPolling {
 		return maxCallPeriod
 	}
-	return min(max(time.Duration(b.set.Nodes)*callPeriodPerNode, minCallPeriod), maxCallPeriod)
+	return min(max(time.Duration(b.settings.NodeCount)*callPeriodPerNode, minCallPeriod), maxCallPeriod)
 }
 
 // partOfPeriod gives a multiple of the period within bounds.
@@ -200,7 +202,7 @@
 // retryDelay is a random time behind the end of a call that came to nothing.
 func (b *Balancer) retryJitter() time.Duration {
 	maxJitter := maxRetryJitter
-	if b.set.LongPolling {
+	if b.settings.LongPolling {
 		maxJitter = b.shareOfCallPeriod(retryJitterShare, 0, maxRetryJitter)
 	}
 	return b.randomUpTo(min(b.backoffInterval(), maxJitter))
@@ -211,7 +213,7 @@
 	if !b.calls.watchStable {
 		return maxLateThreshold
 	}
-	return min(max(time.Duration(b.set.Nodes)*lateThresholdPerNode, minLateThreshold), maxLateThreshold)
+	return min(max(time.Duration(b.settings.NodeCount)*lateThresholdPerNode, minLateThreshold), maxLateThreshold)
 }
 
 // lateMargin is how much later than asked for a watch may be answered.
@@ -221,7 +223,7 @@
 
 // wholeSpan is the time that discovery takes for a whole list, or the dearest call, of each node.
 func (b *Balancer) fleetWholeListTime() time.Duration {
-	return time.Duration(b.set.Nodes) * wholeListCallCost
+	return time.Duration(b.settings.NodeCount) * wholeListCallCost
 }
 
 // unusablePause is the rest after an answer of some bytes that could not be taken.
@@ -235,11 +237,11 @@
 // fails before, as a busy discovery may tell that there is nothing new before it has looked.
 func (b *Balancer) waitForChanges(reason CallReason) time.Duration {
 	switch {
-	case !b.set.LongPolling || reason == CallReasonStart || reason == CallReasonAddressChanged || b.calls.answeredAt == 0:
+	case !b.settings.LongPolling || reason == CallReasonStart || reason == CallReasonAddressChanged || b.calls.answeredAt == 0:
 		return 0
-	case !b.set.ListOnRequest && reason == CallReasonNext:
+	case !b.settings.ListOnRequest && reason == CallReasonNext:
 		return 2 * b.agentCallPeriod()
-	case !b.set.ListOnRequest:
+	case !b.settings.ListOnRequest:
 		return 0
 	case reason == CallReasonRetry, reason == CallReasonLate && !b.overlapsCalls():
 		return b.lateThreshold() - b.lateMargin()
@@ -250,7 +252,7 @@
 
 // slow tells whether calls follow each other without waiting for answers.
 func (b *Balancer) overlapsCalls() bool {
-	return b.set.ListOnRequest && b.calls.answerDelay >= overlapFromDelay
+	return b.settings.ListOnRequest && b.calls.answerDelay >= overlapFromDelay
 }
 
 // slowPace is the time between two calls then.
@@ -264,7 +266,7 @@
 // follow at the period.
 func (b *Balancer) lateAt(now, wait time.Duration) time.Duration {
 	switch {
-	case !b.set.ListOnRequest:
+	case !b.settings.ListOnRequest:
 		return now + wait + b.agentCallPeriod()
 	case b.overlapsCalls():
 		return now + b.overlapInterval()
--- a/policy/calls.go
+++ b/policy/calls.go
@@ -64,9 +64,9 @@
 func (b *Balancer) planFirstCall(now time.Duration, knowsServers bool) {
 	b.calls = callState{failingSince: now}
 	spread := b.firstCallSpread(knowsServers)
-	if b.set.ConfirmCachedList {
+	if b.settings.ConfirmCachedList {
 		b.host.SetTimer(now+min(max(b.fleetCallTime(), spread+callReserve, minReadyDelay), maxReadyDelay), tokenReady)
-		if b.set.ListOnRequest {
+		if b.settings.ListOnRequest {
 			b.host.SetTimer(now+maxConfirmationWait, tokenServeUnconfirmed)
 		}
 	}
@@ -76,7 +76,7 @@
 }
 
 // callsList tells whether the list has to be called for.
-func (b *Balancer) callsDiscovery() bool { return b.set.ListOnRequest || b.set.LongPolling }
+func (b *Balancer) callsDiscovery() bool { return b.settings.ListOnRequest || b.settings.LongPolling }
 
 // callAt plans the next call in place of the one that was planned.
 func (b *Balancer) planCall(at time.Duration, reason CallReason) {
@@ -106,14 +106,14 @@
 	if c.watching = reason == CallReasonNext; !c.watching {
 		c.countCall()
 	}
-	if !b.set.LongPolling {
+	if !b.settings.LongPolling {
 		c.inFlight = c.inFlight[:0] // a subscription is asked for anew
 	}
 	if c.inFlight = append(c.inFlight, inFlightCall{id: call.ID, wait: call.WaitForChanges, began: now}); len(c.inFlight) > maxCallsInFlight {
 		b.cancelDensestCall(now)
 	}
 	b.host.StartCall(call)
-	if b.set.LongPolling {
+	if b.settings.LongPolling {
 		b.planCall(b.lateAt(now, call.WaitForChanges), CallReasonLate)
 	}
 }
@@ -150,7 +150,7 @@
 // callAnswered notes that discovery has told all that it has, and goes on with the watch.
 func (b *Balancer) callAnswered(now time.Duration, call inFlightCall, isNewest, changed bool) {
 	c := &b.calls
-	if b.set.LongPolling || !c.watching {
+	if b.settings.LongPolling || !c.watching {
 		c.answerDelay = answerDelay(now, call, changed, c.answerDelay)
 	}
 	if c.callsSinceAnswer > 0 {
@@ -163,7 +163,7 @@
 	c.answeredAt, c.watchStable = now, c.watchStable || isNewest && c.watching
 	b.setListDeadline(now, max(c.listDeadline, now-c.answerDelay+maxListAge))
 	switch {
-	case !b.set.LongPolling:
+	case !b.settings.LongPolling:
 		c.hasNext, c.watching = false, true
 	case isNewest && !changed && now-call.began < call.wait/2:
 		b.planCall(max(now, c.lastCallAt+burstInterval), CallReasonNext) // it does not wait as long as it is asked to
@@ -179,7 +179,7 @@
 func (b *Balancer) setListDeadline(now, deadline time.Duration) {
 	b.calls.listDeadline = deadline
 	b.calls.overdueReported = b.calls.overdueReported && deadline <= now
-	if b.set.ListOnRequest && b.set.LongPolling {
+	if b.settings.ListOnRequest && b.settings.LongPolling {
 		b.host.SetTimer(deadline+timerSlack, tokenListDeadline)
 	}
 }
@@ -277,7 +277,7 @@
 // is down may refuse at once too.
 func (b *Balancer) mayRetryRefused(now time.Duration, call inFlightCall, result CallResult) bool {
 	c := &b.calls
-	if result != CallRefused || !b.set.ListOnRequest || now-call.began >= minQueuedFailure || c.refusedRetries >= maxRefusedRetries {
+	if result != CallRefused || !b.settings.ListOnRequest || now-call.began >= minQueuedFailure || c.refusedRetries >= maxRefusedRetries {
 		c.refusedRetries = 0
 		return false
 	}
@@ -288,7 +288,7 @@
 // notBusy tells whether a call was refused though discovery can't be too busy for it: it was only to go on
 // with a watch that holds, or calls were seen to fail at random.
 func (b *Balancer) refusedWithoutOverload(now time.Duration, result CallResult) bool {
-	return result == CallRefused && b.set.ListOnRequest && (b.backlogCleared(now) || now < b.calls.flakyUntil)
+	return result == CallRefused && b.settings.ListOnRequest && (b.backlogCleared(now) || now < b.calls.flakyUntil)
 }
 
 // inTime brings a call forward that would come after the list is due, to a random time: many nodes
--- a/policy/calls_test.go
+++ b/policy/calls_test.go
@@ -6,24 +6,24 @@
 )
 
 // askingRig is a node of a fleet that has to ask for its list, and has just started with a known one.
-func newOnRequestRunner(t *testing.T, nodes int, seed uint64, confirm bool) *rig {
+func newOnRequestRunner(t *testing.T, nodes int, seed uint64, confirm bool) *runner {
 	t.Helper()
 	settings := testSettings()
-	settings.Nodes, settings.ListOnRequest, settings.ConfirmCachedList = nodes, true, confirm
+	settings.NodeCount, settings.ListOnRequest, settings.ConfirmCachedList = nodes, true, confirm
 	h := newHost()
 	b, err := New(settings, seed, h)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, b: b, h: h, now: time.Hour}
-	r.list(ListCached, ready(1, 3)...)
+	r := &runner{t: t, b: b, host: h, now: time.Hour}
+	r.deliverList(ListCached, inServiceEntries(1, 3)...)
 	return r
 }
 
 // nextCall passes time until the next call begins.
-func (r *rig) awaitNextCall(deadline time.Duration) {
+func (r *runner) awaitNextCall(deadline time.Duration) {
 	r.t.Helper()
-	for calls := r.h.watches; r.h.watches == calls; r.pass(5 * ms) {
+	for calls := r.host.callCount; r.host.callCount == calls; r.advance(5 * ms) {
 		if r.now > deadline {
 			r.t.Fatalf("no call for %v", r.now-deadline)
 		}
@@ -45,18 +45,18 @@
 func TestNothingIsSentByAListThatIsNotConfirmed(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, nodes int, seed uint64) {
 		r := newOnRequestRunner(t, nodes, seed, true)
-		early := r.request(0)
-		if _, refused := r.h.refused[early]; !refused || len(r.h.sends) > 0 || r.h.readies > 0 {
-			t.Fatalf("%d nodes: a request before the list is confirmed: refused %t, sends %v", nodes, refused, r.h.sends)
+		early := r.sendRequest(0)
+		if _, refused := r.host.refused[early]; !refused || len(r.host.sends) > 0 || r.host.readyCount > 0 {
+			t.Fatalf("%d nodes: a request before the list is confirmed: refused %t, sends %v", nodes, refused, r.host.sends)
 		}
 		r.awaitNextCall(r.now + 7*time.Second)
-		r.list(ListChanges, Entry{Server: 2, State: StateGone}, Entry{Server: 3, State: StateGone})
-		if r.h.readies != 1 {
-			t.Fatalf("%d nodes: told ready %d times once the list is confirmed", nodes, r.h.readies)
+		r.deliverList(ListChanges, Entry{Server: 2, State: StateGone}, Entry{Server: 3, State: StateGone})
+		if r.host.readyCount != 1 {
+			t.Fatalf("%d nodes: told ready %d times once the list is confirmed", nodes, r.host.readyCount)
 		}
 		// Which of the servers is left depends on nothing but the change.
-		if id := r.request(0); len(r.sendsOf(id)) != 1 || r.sendsOf(id)[0] != 1 {
-			t.Fatalf("%d nodes: sent to %v, want the server that is left", nodes, r.sendsOf(id))
+		if id := r.sendRequest(0); len(r.serversSentTo(id)) != 1 || r.serversSentTo(id)[0] != 1 {
+			t.Fatalf("%d nodes: sent to %v, want the server that is left", nodes, r.serversSentTo(id))
 		}
 	})
 }
@@ -67,10 +67,10 @@
 		r := newOnRequestRunner(t, nodes, seed, true)
 		start := r.now
 		calls := 0
-		for ; r.h.readies == 0; r.pass(5 * ms) {
-			if r.h.watches > calls {
-				calls = r.h.watches
-				r.list(ListFailed)
+		for ; r.host.readyCount == 0; r.advance(5 * ms) {
+			if r.host.callCount > calls {
+				calls = r.host.callCount
+				r.deliverList(ListFailed)
 			}
 			if r.now-start > 9*time.Second {
 				t.Fatalf("%d nodes: not ready after %v", nodes, r.now-start)
@@ -79,26 +79,26 @@
 		if r.now-start < 4*time.Second {
 			t.Fatalf("%d nodes: ready after %v, while discovery may be slow", nodes, r.now-start)
 		}
-		for ; r.now < start+maxConfirmationWait-5*ms; r.pass(5 * ms) {
-			if r.h.watches > calls {
-				calls = r.h.watches
-				r.list(ListFailed)
+		for ; r.now < start+maxConfirmationWait-5*ms; r.advance(5 * ms) {
+			if r.host.callCount > calls {
+				calls = r.host.callCount
+				r.deliverList(ListFailed)
 			}
-			if id := r.request(0); len(r.sendsOf(id)) > 0 {
+			if id := r.sendRequest(0); len(r.serversSentTo(id)) > 0 {
 				t.Fatalf("%d nodes: the known list serves after %v", nodes, r.now-start)
 			}
 		}
-		r.pass(10 * ms)
-		if id := r.request(0); len(r.sendsOf(id)) != 1 {
+		r.advance(10 * ms)
+		if id := r.sendRequest(0); len(r.serversSentTo(id)) != 1 {
 			t.Fatalf("%d nodes: the known list does not serve after %v", nodes, r.now-start)
 		}
-		if r.h.watches > calls {
-			r.list(ListFailed) // a call that began in the very moment
+		if r.host.callCount > calls {
+			r.deliverList(ListFailed) // a call that began in the very moment
 		}
 		r.awaitNextCall(r.now + maxCallPeriod)
-		r.list(ListWhole, ready(1, 1)...)
-		if r.h.readies != 1 {
-			t.Fatalf("%d nodes: told ready %d times", nodes, r.h.readies)
+		r.deliverList(ListWhole, inServiceEntries(1, 1)...)
+		if r.host.readyCount != 1 {
+			t.Fatalf("%d nodes: told ready %d times", nodes, r.host.readyCount)
 		}
 	})
 }
@@ -112,25 +112,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, b: b, h: h, now: time.Hour}
-	r.list(ListCached, ready(1, 3)...)
-	if r.pass(2 * time.Minute); h.readies != 1 {
-		t.Fatalf("told ready %d times while the agent is silent", h.readies)
+	r := &runner{t: t, b: b, host: h, now: time.Hour}
+	r.deliverList(ListCached, inServiceEntries(1, 3)...)
+	if r.advance(2 * time.Minute); h.readyCount != 1 {
+		t.Fatalf("told ready %d times while the agent is silent", h.readyCount)
 	}
-	if id := r.request(0); len(r.sendsOf(id)) > 0 {
+	if id := r.sendRequest(0); len(r.serversSentTo(id)) > 0 {
 		t.Fatal("a request is sent by a list that is not confirmed")
 	}
-	r.list(ListWhole, ready(2, 3)...)
-	if id := r.request(0); len(r.sendsOf(id)) != 1 || h.readies != 1 {
-		t.Fatalf("sends %v, told ready %d times, once the list is confirmed", h.sends, h.readies)
+	r.deliverList(ListWhole, inServiceEntries(2, 3)...)
+	if id := r.sendRequest(0); len(r.serversSentTo(id)) != 1 || h.readyCount != 1 {
+		t.Fatalf("sends %v, told ready %d times, once the list is confirmed", h.sends, h.readyCount)
 	}
 }
 
 // Nobody waits to be confirmed where that is not asked for, as in the simulator.
 func TestListServesAtOnceWhereItNeedNotBeConfirmed(t *testing.T) {
 	r := newOnRequestRunner(t, 300, 1, false)
-	if id := r.request(0); len(r.sendsOf(id)) != 1 || r.h.readies != 1 {
-		t.Fatalf("sends %v, told ready %d times", r.h.sends, r.h.readies)
+	if id := r.sendRequest(0); len(r.serversSentTo(id)) != 1 || r.host.readyCount != 1 {
+		t.Fatalf("sends %v, told ready %d times", r.host.sends, r.host.readyCount)
 	}
 }
 
@@ -144,17 +144,17 @@
 		}{{ListFailed, 0}, {ListFailed, 2500 * ms}, {ListSilent, 3 * time.Second}} {
 			r := newOnRequestRunner(t, nodes, seed, true)
 			r.awaitNextCall(r.now + 7*time.Second)
-			r.list(ListChanges)
+			r.deliverList(ListChanges)
 			due := r.now + maxListAge
-			r.pass(broken.after)
-			r.list(broken.kind)
+			r.advance(broken.after)
+			r.deliverList(broken.kind)
 			for failures := range 2 {
 				r.awaitNextCall(due - 250*ms) // and some time for the answer
 				if failures == 0 && r.now > due-900*ms {
 					t.Fatalf("%d nodes: the first call after the watch comes %v before the list is due", nodes, due-r.now)
 				}
-				r.pass(20 * ms)
-				r.list(ListFailed)
+				r.advance(20 * ms)
+				r.deliverList(ListFailed)
 			}
 		}
 	})
@@ -165,14 +165,14 @@
 	forEachFleetSize(t, func(t *testing.T, nodes int, seed uint64) {
 		r := newOnRequestRunner(t, nodes, seed, true)
 		r.awaitNextCall(r.now + 7*time.Second)
-		r.list(ListChanges)
-		r.pass(time.Second)
+		r.deliverList(ListChanges)
+		r.advance(time.Second)
 		due := r.now + maxAddressChangeDelay
-		r.list(ListAddressChanged)
+		r.deliverList(ListAddressChanged)
 		for range 3 {
 			r.awaitNextCall(due - 500*ms)
-			r.pass(20 * ms)
-			r.list(ListFailed)
+			r.advance(20 * ms)
+			r.deliverList(ListFailed)
 		}
 	})
 }
@@ -180,13 +180,13 @@
 // A reload drops the call that was due before it: one call is made, not two.
 func TestReloadMakesOneCall(t *testing.T) {
 	r := newOnRequestRunner(t, 300, 1, true)
-	r.list(ListAddressChanged)
-	r.list(ListAddressChanged)
+	r.deliverList(ListAddressChanged)
+	r.deliverList(ListAddressChanged)
 	r.awaitNextCall(r.now + maxAddressChangeSpread)
-	r.list(ListWhole, ready(1, 3)...)
-	calls := r.h.watches
-	if r.pass(10 * time.Second); r.h.watches != calls {
-		t.Errorf("%d calls are made while the watch is open", r.h.watches-calls)
+	r.deliverList(ListWhole, inServiceEntries(1, 3)...)
+	calls := r.host.callCount
+	if r.advance(10 * time.Second); r.host.callCount != calls {
+		t.Errorf("%d calls are made while the watch is open", r.host.callCount-calls)
 	}
 }
 
@@ -197,13 +197,13 @@
 		for _, took := range []time.Duration{ms, 2 * time.Second} {
 			r := newOnRequestRunner(t, nodes, seed, true)
 			r.awaitNextCall(r.now + 7*time.Second)
-			r.list(ListChanges)
-			r.list(ListFailed)
+			r.deliverList(ListChanges)
+			r.deliverList(ListFailed)
 			for begin := r.now; r.now-begin < overloadSuspectedAfter-maxCallPeriod; {
 				from := r.now
 				r.awaitNextCall(from + maxCallPeriod)
-				r.pass(took)
-				r.list(ListFailed)
+				r.advance(took)
+				r.deliverList(ListFailed)
 			}
 		}
 	})
@@ -213,16 +213,16 @@
 func TestArrivingAnswerIsNotLate(t *testing.T) {
 	for _, nodes := range []int{1, 300} {
 		r := newPollingRunner(t, false, nodes, 1)
-		calls, id := r.h.watches, r.latestCall()
+		calls, id := r.host.callCount, r.latestCall()
 		const rate = 2 * minArrivalBytesPerSecond
 		for bytes := int64(0); bytes < 30*rate; bytes += rate / 10 {
-			r.pass(100 * ms)
+			r.advance(100 * ms)
 			r.b.CallProgress(r.now, id, bytes)
 		}
-		if r.h.watches != calls {
-			t.Errorf("%d nodes: %d calls begin while an answer comes in", nodes, r.h.watches-calls)
+		if r.host.callCount != calls {
+			t.Errorf("%d nodes: %d calls begin while an answer comes in", nodes, r.host.callCount-calls)
 		}
-		if r.pass(6 * time.Second); r.h.watches == calls {
+		if r.advance(6 * time.Second); r.host.callCount == calls {
 			t.Errorf("%d nodes: no call begins though the answer has stopped", nodes)
 		}
 	}
@@ -231,12 +231,12 @@
 // An answer that trickles is late as any other.
 func TestAnswerThatTricklesIsLate(t *testing.T) {
 	r := newPollingRunner(t, false, 1, 1)
-	calls, id := r.h.watches, r.latestCall()
+	calls, id := r.host.callCount, r.latestCall()
 	for i := range int64(40) {
-		r.pass(100 * ms)
+		r.advance(100 * ms)
 		r.b.CallProgress(r.now, id, 400*i)
 	}
-	if r.h.watches == calls {
+	if r.host.callCount == calls {
 		t.Error("no call begins beside an answer that trickles")
 	}
 }
--- a/policy/clock_test.go
+++ b/policy/clock_test.go
@@ -14,23 +14,23 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			settings := testSettings()
-			settings.Rules.ColdFor = 24 * time.Second
-			r := newRig(t, settings, 2)
+			settings.Rules.ColdDuration = 24 * time.Second
+			r := newRunner(t, settings, 2)
 			r.now = 2 * time.Hour
-			r.list(ListWhole, ready(1, 2)...)
-			r.pass(time.Second)
+			r.deliverList(ListWhole, inServiceEntries(1, 2)...)
+			r.advance(time.Second)
 			started := r.now - 500*ms
-			r.list(ListChanges, Entry{Server: 1, State: StateInService, StartedAt: started + step, Weight: 1})
+			r.deliverList(ListChanges, Entry{Server: 1, State: StateInService, StartedAt: started + step, Weight: 1})
 			s := r.b.servers[1]
 			share := func() float64 { return r.b.coldShare(s.upSince, r.now) }
 			if share() > 0.6 {
 				t.Errorf("a server that has just started counts as %.2f warm", share())
 			}
-			if r.pass(settings.Rules.ColdFor); share() < 1 {
+			if r.advance(settings.Rules.ColdDuration); share() < 1 {
 				t.Errorf("a server counts as %.2f warm after the time in which it is at most", share())
 			}
 			for range failuresToOpen {
-				a := attempt{server: s, sent: r.now}
+				a := attempt{server: s, sentAt: r.now}
 				r.b.failed(r.now, &a, false)
 			}
 			if s.breaker != open {
@@ -43,19 +43,19 @@
 // A list that names the same process again does not date it anew.
 func TestProcessIsDatedOnce(t *testing.T) {
 	settings := testSettings()
-	r := newRig(t, settings, 2)
-	r.list(ListWhole, ready(1, 2)...)
+	r := newRunner(t, settings, 2)
+	r.deliverList(ListWhole, inServiceEntries(1, 2)...)
 	again := Entry{Server: 1, State: StateInService, StartedAt: r.now + time.Hour, Weight: 1}
-	r.list(ListChanges, again)
+	r.deliverList(ListChanges, again)
 	first := r.b.servers[1].upSince
-	r.pass(5 * time.Second)
-	r.list(ListChanges, again)
-	r.list(ListWhole, again, ready(2, 2)[0])
+	r.advance(5 * time.Second)
+	r.deliverList(ListChanges, again)
+	r.deliverList(ListWhole, again, inServiceEntries(2, 2)[0])
 	if got := r.b.servers[1].upSince; got != first {
 		t.Errorf("dated %v, and %v later %v", first, r.now-first, got)
 	}
 	again.StartedAt += time.Second
-	r.list(ListChanges, again)
+	r.deliverList(ListChanges, again)
 	if got := r.b.servers[1].upSince; got != r.now {
 		t.Errorf("a further start is dated %v, want %v", got, r.now)
 	}
@@ -63,16 +63,16 @@
 
 // An outcome of an attempt that went to this process counts, whatever the wall clock of its start.
 func TestOutcomesCountAfterAStepOfTheWallClock(t *testing.T) {
-	r := newRig(t, testSettings(), 1)
-	r.list(ListWhole, Entry{Server: 1, State: StateInService, StartedAt: r.now + time.Hour, Weight: 1})
+	r := newRunner(t, testSettings(), 1)
+	r.deliverList(ListWhole, Entry{Server: 1, State: StateInService, StartedAt: r.now + time.Hour, Weight: 1})
 	s := r.b.servers[1]
 	for range failuresToOpen {
-		r.pass(time.Second)
-		r.next++
-		req := r.b.newRequest(Request{ID: r.next, Left: time.Second}, &r.b.classes[0])
-		req.end = r.now + time.Second
+		r.advance(time.Second)
+		r.lastID++
+		req := r.b.addRequest(Request{ID: r.lastID, TimeLeft: time.Second}, &r.b.classes[0])
+		req.deadline = r.now + time.Second
 		r.b.send(r.now, req, s)
-		r.end(r.next, Error, 10*ms)
+		r.endAttempt(r.lastID, ServerError, 10*ms)
 	}
 	if s.breaker != open {
 		t.Errorf("%d failures in a row do not open the breaker", failuresToOpen)
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -22,12 +22,12 @@
 		settle = 3 * time.Second
 	)
 	set := testSettings()
-	set.Nodes = nodes
+	set.NodeCount = nodes
 	rules := &set.Rules
-	rules.ColdFrom, rules.ColdFor, rules.FallMultiple, rules.FallFor = 0.12, 24*time.Second, 2.5, 2*time.Second
+	rules.ColdCapacityShare, rules.ColdDuration, rules.OverloadMultiple, rules.OverloadDuration = 0.12, 24*time.Second, 2.5, 2*time.Second
 	budget := func(age time.Duration) float64 { // requests in FallFor
-		share := rules.ColdFrom + (1-rules.ColdFrom)*age.Seconds()/rules.ColdFor.Seconds()
-		return rules.FallMultiple * share * each * rules.FallFor.Seconds()
+		share := rules.ColdCapacityShare + (1-rules.ColdCapacityShare)*age.Seconds()/rules.ColdDuration.Seconds()
+		return rules.OverloadMultiple * share * each * rules.OverloadDuration.Seconds()
 	}
 	type out struct {
 		at time.Duration
@@ -35,23 +35,23 @@
 	}
 	rng := rand.New(rand.NewPCG(seed, 1))
 	start := time.Hour
-	fleet, seen, pending := make([]*rig, nodes), make([]int, nodes), make([][]out, nodes)
+	fleet, seen, pending := make([]*runner, nodes), make([]int, nodes), make([][]out, nodes)
 	part, parts := make([]float64, nodes), 0.0
 	for i := range fleet {
 		if part[i] = 1; uneven && i%4 == 0 {
 			part[i] = 3
 		}
 		parts += part[i]
-		set.Node = i
+		set.NodeIndex = i
 		h := newHost()
 		b, err := New(set, seed<<32+uint64(i), h)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fleet[i] = &rig{t: t, b: b, h: h, now: start - settle, done: map[RequestID]int{}}
-		fleet[i].list(ListCached, ready(1, servers)...)
+		fleet[i] = &runner{t: t, b: b, host: h, now: start - settle, outcomesGiven: map[RequestID]int{}}
+		fleet[i].deliverList(ListCached, inServiceEntries(1, servers)...)
 	}
-	back := ready(1, cold)
+	back := inServiceEntries(1, cold)
 	for i := range back {
 		back[i].StartedAt = start
 	}
@@ -59,38 +59,38 @@
 	for now := start - settle; now < start+plays; now += step {
 		rate := load * each * float64(servers-cold) / parts
 		for i, r := range fleet {
-			r.pass(now - r.now)
+			r.advance(now - r.now)
 			if now == start {
-				r.list(ListChanges, back...)
+				r.deliverList(ListChanges, back...)
 			}
 			for len(pending[i]) > 0 && pending[i][0].at <= now {
-				r.end(pending[i][0].id, OK, took)
+				r.endAttempt(pending[i][0].id, OK, took)
 				pending[i] = pending[i][1:]
 			}
 			if rng.Float64() < rate*part[i]*step.Seconds() {
-				r.request(0)
+				r.sendRequest(0)
 			}
-			for _, s := range r.h.sends[seen[i]:] {
+			for _, s := range r.host.sends[seen[i]:] {
 				pending[i] = append(pending[i], out{now + took, s.id})
 				if int(s.server) <= cold && now >= start {
 					got[s.server] = append(got[s.server], now-start)
 				}
 			}
-			seen[i] = len(r.h.sends)
+			seen[i] = len(r.host.sends)
 		}
 	}
 	sent, borne := 0, 0.0
 	for _, times := range got[1:] {
 		first := 0
 		for i, at := range times {
-			for at-times[first] > rules.FallFor {
+			for at-times[first] > rules.OverloadDuration {
 				first++
 			}
 			n := budget(times[first])
 			worst = max(worst, (float64(i-first+1)-n)/(2*math.Sqrt(n)+2))
 		}
 		sent += len(times)
-		borne += budget(plays/2) * plays.Seconds() / rules.FallFor.Seconds()
+		borne += budget(plays/2) * plays.Seconds() / rules.OverloadDuration.Seconds()
 	}
 	return worst, float64(sent) / borne
 }
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -28,10 +28,10 @@
 	case excess > 0 && !b.crowded: // the start's fast growth went too far
 		b.crowded, b.limit, b.limitKnown = true, 0.6*b.limit, 0.6*b.limit
 	case excess > 0:
-		least := max(1/float64(b.set.Nodes), 0.9*b.limitKnown)
+		least := max(1/float64(b.settings.NodeCount), 0.9*b.limitKnown)
 		b.limit = max(least, b.limit*(1-limitDown*min(excess, 0.2)*rounds))
 		b.limitKnown *= 1 - seconds/limitFor
-	case len(b.held) > 0 && b.loneSeen >= loneNeeded:
+	case len(b.queue) > 0 && b.loneSeen >= loneNeeded:
 		if !b.crowded {
 			rounds *= startFaster
 		}
@@ -44,7 +44,7 @@
 // a whole decides the rounding, so that a limit of 1.4 is 2 at two servers of five.
 func (b *Balancer) room(s *server, now time.Duration) bool {
 	bound := max(1, math.Floor(b.perFeeder(b.limit)+s.rounding)*b.coldShare(s.upSince, now))
-	return now >= s.fullUntil && (b.thin() || float64(len(s.out)+1) <= bound)
+	return now >= s.fullUntil && (b.thin() || float64(len(s.inFlight)+1) <= bound)
 }
 
 // measure takes in how long a served request took, compared to lone ones of its
@@ -52,11 +52,11 @@
 func (b *Balancer) measure(a *attempt, r *request, latency float64) bool {
 	s, c := a.server, r.class
 	b.typical += (latency - b.typical) / 64
-	if !b.set.WorthByWork {
-		c.work.Add(latency, 400) // by all answers: lone ones are rare in a busy fleet
+	if !b.settings.ValueByWork {
+		c.meanWork.Add(latency, 400) // by all answers: lone ones are rare in a busy fleet
 	}
 	if a.lone {
-		c.lone.Add(latency/r.size(), 400)
+		c.lone.Add(latency/r.relativeWork(), 400)
 		if c.lone.Count == loneSettled {
 			c.yardstick = c.lone.Value // stays: servers are compared by it from now on
 		}
@@ -64,7 +64,7 @@
 	if c.yardstick == 0 {
 		return false
 	}
-	relative := math.Log(max(latency, 1e-4) / (c.yardstick * r.size()))
+	relative := math.Log(max(latency, 1e-4) / (c.yardstick * r.relativeWork()))
 	if a.lone {
 		s.lone.Add(relative, 16)
 		b.loneSeen++
--- a/policy/crowded_return_test.go
+++ b/policy/crowded_return_test.go
@@ -35,7 +35,7 @@
 
 // returnRig is a node of a fleet before a crowdedDiscovery.
 type recoveringNode struct {
-	*rig
+	*runner
 	callsSeen int           // calls of the host that were looked at
 	endsAt    time.Duration // of the call that is out; 0: none
 	callID    CallID
@@ -45,19 +45,19 @@
 
 // play passes time up to now and has discovery take the calls that began.
 func (r *recoveringNode) advanceTo(now time.Duration, d *queueingDiscovery) {
-	r.pass(now - r.now)
+	r.advance(now - r.now)
 	if r.endsAt > 0 && now >= r.endsAt {
 		r.endsAt = 0
 		end := CallEnd{ID: r.callID, Result: CallRefused}
 		if r.answered {
 			end.Result = CallAnswered
 			r.recovered = now > d.downUntil
-			r.list(ListChanges)
+			r.deliverList(ListChanges)
 		}
 		r.b.CallEnded(now, end)
 	}
-	for ; r.callsSeen < len(r.h.calls); r.callsSeen++ {
-		call := r.h.calls[r.callsSeen]
+	for ; r.callsSeen < len(r.host.calls); r.callsSeen++ {
+		call := r.host.calls[r.callsSeen]
 		r.callID = call.ID
 		switch {
 		case call.Reason != CallReasonNext:
@@ -101,7 +101,7 @@
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 7))
 	settings := testSettings()
-	settings.Nodes, settings.ListOnRequest, settings.LongPolling = nodes, true, true
+	settings.NodeCount, settings.ListOnRequest, settings.LongPolling = nodes, true, true
 	start := time.Hour
 	d := &queueingDiscovery{callDuration: callDuration, maxWait: maxWait, failAfter: time.Second, downFrom: start + 10*time.Second}
 	d.downUntil = d.downFrom + 3*time.Second + time.Duration(rng.Float64()*float64(9*time.Second))
@@ -112,8 +112,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		fleet[i] = &recoveringNode{rig: &rig{t: t, b: b, h: h, now: start}}
-		fleet[i].list(ListCached, ready(1, 3)...)
+		fleet[i] = &recoveringNode{runner: &runner{t: t, b: b, host: h, now: start}}
+		fleet[i].deliverList(ListCached, inServiceEntries(1, 3)...)
 	}
 	for now := start; ; now += 5 * ms {
 		all := true
--- a/policy/discovery_faults_test.go
+++ b/policy/discovery_faults_test.go
@@ -31,7 +31,7 @@
 
 // modelRun plays a node before a model of discovery.
 type discoveryRun struct {
-	*rig
+	*runner
 	fault         discoveryFault
 	pushed        bool
 	rng           *rand.Rand
@@ -63,7 +63,7 @@
 func newDiscoveryRun(t *testing.T, pushed bool, nodes int, seed uint64, fault discoveryFault) *discoveryRun {
 	t.Helper()
 	settings := testSettings()
-	settings.Nodes, settings.ListOnRequest, settings.LongPolling, settings.ConfirmCachedList = nodes, !pushed, true, true
+	settings.NodeCount, settings.ListOnRequest, settings.LongPolling, settings.ConfirmCachedList = nodes, !pushed, true, true
 	settings.Rules.DrainGrace = 300 * ms
 	h := newHost()
 	b, err := New(settings, seed, h)
@@ -71,10 +71,10 @@
 		t.Fatal(err)
 	}
 	m := &discoveryRun{
-		rig: &rig{t: t, b: b, h: h, now: time.Hour}, fault: fault, pushed: pushed,
+		runner: &runner{t: t, b: b, host: h, now: time.Hour}, fault: fault, pushed: pushed,
 		rng: rand.New(rand.NewPCG(seed, 9)), inFlight: map[CallID]*modelCall{},
 	}
-	m.list(ListCached, ready(1, 3)...)
+	m.deliverList(ListCached, inServiceEntries(1, 3)...)
 	return m
 }
 
@@ -113,13 +113,13 @@
 
 // step lets some time pass and hands on what comes of calls.
 func (m *discoveryRun) advanceStep(d time.Duration) {
-	m.pass(d)
-	for _, id := range m.h.ended {
+	m.advance(d)
+	for _, id := range m.host.endedCalls {
 		delete(m.inFlight, id)
 	}
-	m.h.ended = m.h.ended[:0]
-	for ; m.callsSeen < len(m.h.calls); m.callsSeen++ {
-		m.beginCall(m.h.calls[m.callsSeen])
+	m.host.endedCalls = m.host.endedCalls[:0]
+	for ; m.callsSeen < len(m.host.calls); m.callsSeen++ {
+		m.beginCall(m.host.calls[m.callsSeen])
 	}
 	for _, call := range slices.Sorted(maps.Keys(m.inFlight)) { // in their order, so that a seed gives one run
 		c := m.inFlight[call]
@@ -144,7 +144,7 @@
 	changed := c.result == CallAnswered && c.version > c.sinceVersion
 	if c.result == CallAnswered {
 		m.knownChanges = max(m.knownChanges, c.version)
-		m.list(ListChanges)
+		m.deliverList(ListChanges)
 		if m.firstAnswerAt == 0 {
 			m.firstAnswerAt = m.now
 		}
@@ -314,24 +314,24 @@
 }
 
 // pollingRig is a node whose calls end and are made anew; its list was confirmed just now.
-func newPollingRunner(t *testing.T, pushed bool, nodes int, seed uint64) *rig {
+func newPollingRunner(t *testing.T, pushed bool, nodes int, seed uint64) *runner {
 	t.Helper()
 	m := newDiscoveryRun(t, pushed, nodes, seed, discoveryFault{})
 	for m.firstAnswerAt == 0 {
 		m.advanceStep(ms)
 	}
-	return m.rig
+	return m.runner
 }
 
 // latest gives the newest call.
-func (r *rig) latestCall() CallID { return r.h.calls[len(r.h.calls)-1].ID }
+func (r *runner) latestCall() CallID { return r.host.calls[len(r.host.calls)-1].ID }
 
 // fails ends the newest call in a way, and gives how long after that the next one begins.
-func (r *rig) failLatestCall(result CallResult, bytes int64) (pause time.Duration) {
+func (r *runner) failLatestCall(result CallResult, bytes int64) (pause time.Duration) {
 	r.t.Helper()
 	ended := r.now
 	r.b.CallEnded(r.now, CallEnd{ID: r.latestCall(), Result: result, UnusableBytes: bytes})
-	for calls := r.h.watches; r.h.watches == calls; r.pass(ms) {
+	for calls := r.host.callCount; r.host.callCount == calls; r.advance(ms) {
 		if r.now-ended > time.Minute {
 			r.t.Fatal("no call for a minute")
 		}
@@ -347,16 +347,16 @@
 		r.awaitNextCall(r.now + maxCallPeriod)
 	}
 	r.b.CallEnded(r.now, CallEnd{ID: first + 2, Result: CallAnswered, Changed: true})
-	if want := fmt.Sprint([]CallID{first, first + 1}); fmt.Sprint(r.h.ended) != want {
-		t.Fatalf("calls %v are given up, want %s", r.h.ended, want)
+	if want := fmt.Sprint([]CallID{first, first + 1}); fmt.Sprint(r.host.endedCalls) != want {
+		t.Fatalf("calls %v are given up, want %s", r.host.endedCalls, want)
 	}
-	before := r.h.watches
+	before := r.host.callCount
 	r.b.CallEnded(r.now, CallEnd{ID: first, Result: CallFailed})
-	if r.h.watches != before {
+	if r.host.callCount != before {
 		t.Error("the end of a call that was given up makes another one begin")
 	}
 	r.b.CallEnded(r.now, CallEnd{ID: first + 3, Result: CallAnswered, Changed: true})
-	if r.h.watches != before+1 || r.h.calls[before].WaitForChanges == 0 {
+	if r.host.callCount != before+1 || r.host.calls[before].WaitForChanges == 0 {
 		t.Error("behind the answer to the newest call no watch begins")
 	}
 }
@@ -368,7 +368,7 @@
 	for range 200 {
 		r.awaitNextCall(r.now + maxCallPeriod)
 		begun[r.latestCall()] = r.now
-		for _, id := range r.h.ended {
+		for _, id := range r.host.endedCalls {
 			delete(begun, id)
 		}
 	}
@@ -390,13 +390,13 @@
 // A discovery that does not wait for changes as long as it is asked to is not called without a pause.
 func TestWatchThatEndsAtOnceIsNotMadeAtOnce(t *testing.T) {
 	r := newPollingRunner(t, false, 8, 1)
-	r.pass(10 * ms)
-	calls := r.h.watches
+	r.advance(10 * ms)
+	calls := r.host.callCount
 	r.b.CallEnded(r.now, CallEnd{ID: r.latestCall(), Result: CallAnswered})
-	if r.pass(burstInterval / 2); r.h.watches != calls {
+	if r.advance(burstInterval / 2); r.host.callCount != calls {
 		t.Error("a watch that ended without news is made anew at once")
 	}
-	if r.pass(burstInterval); r.h.watches != calls+1 {
+	if r.advance(burstInterval); r.host.callCount != calls+1 {
 		t.Error("a watch that ended without news is not made anew")
 	}
 }
@@ -404,7 +404,7 @@
 // Guards rule 3 at the return of an agent: what it gets then counts as told at once.
 func TestAgentThatIsDownIsCalledWithinTheDrainGrace(t *testing.T) {
 	r := newPollingRunner(t, true, 300, 1)
-	grace := r.b.set.Rules.DrainGrace
+	grace := r.b.settings.Rules.DrainGrace
 	for i := range 30 {
 		if pause := r.failLatestCall(CallFailed, 0); pause <= 0 || pause > grace/agentPeriodDivisor+ms {
 			t.Fatalf("failure %d: the next call comes %v later", i, pause)
@@ -420,7 +420,7 @@
 		if i%4 == 0 {
 			result, bytes = CallUnusable, 300
 		}
-		if pause := r.failLatestCall(result, bytes); pause <= 0 || pause > r.b.set.Rules.DrainGrace/agentPeriodDivisor+ms {
+		if pause := r.failLatestCall(result, bytes); pause <= 0 || pause > r.b.settings.Rules.DrainGrace/agentPeriodDivisor+ms {
 			t.Fatalf("call %d came to nothing, and the next comes %v later", i, pause)
 		}
 	}
@@ -460,7 +460,7 @@
 				r.failLatestCall(CallFailed, 0) // up to the pace of the fleet
 			}
 			began := r.now
-			r.pass(took)
+			r.advance(took)
 			r.failLatestCall(CallFailed, 0)
 			const least = maxCallPeriod / 2
 			if apart := r.now - began; apart < least || apart > maxCallPeriod {
@@ -471,7 +471,7 @@
 }
 
 func TestJitterStaysInItsRange(t *testing.T) {
-	r := newRig(t, testSettings(), 1)
+	r := newRunner(t, testSettings(), 1)
 	least, most := time.Hour, time.Duration(0)
 	for range 1000 {
 		delay := r.b.jitter(time.Second)
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -29,30 +29,30 @@
 func watchers(t *testing.T, size, nodes int, seed uint64, g registry, limit time.Duration) (took time.Duration, calls int) {
 	t.Helper()
 	set := testSettings()
-	set.Nodes, set.ListOnRequest = size, true
+	set.NodeCount, set.ListOnRequest = size, true
 	type news struct {
 		at time.Duration
 		ok bool
 	}
 	const step = 5 * ms
 	start := time.Hour
-	fleet, called, hears, armed := make([]*rig, nodes), make([]int, nodes), make([]*news, nodes), 0
+	fleet, called, hears, armed := make([]*runner, nodes), make([]int, nodes), make([]*news, nodes), 0
 	for i := range fleet {
 		h := newHost()
 		b, err := New(set, seed+uint64(i), h)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fleet[i] = &rig{t: t, b: b, h: h, now: start}
-		fleet[i].list(ListCached, ready(1, 60)...)
+		fleet[i] = &runner{t: t, b: b, host: h, now: start}
+		fleet[i].deliverList(ListCached, inServiceEntries(1, 60)...)
 	}
 	for now := start; armed < nodes; now += step {
 		if now-start > limit {
 			t.Fatalf("%d of %d nodes have a watch after %v and %d calls", armed, nodes, limit, calls)
 		}
 		for i, r := range fleet {
-			r.pass(now - r.now)
-			if r.h.watches > called[i] {
+			r.advance(now - r.now)
+			if r.host.callCount > called[i] {
 				called[i]++
 				calls++
 				heard, ok := g.call(now)
@@ -62,9 +62,9 @@
 				hears[i] = nil
 				if n.ok {
 					armed++
-					r.list(ListChanges)
+					r.deliverList(ListChanges)
 				} else {
-					r.list(ListFailed)
+					r.deliverList(ListFailed)
 				}
 			}
 			took = now - start
@@ -142,30 +142,30 @@
 	for _, nodes := range []int{1, 20, 350} {
 		for seed := range uint64(20) {
 			set := testSettings()
-			set.Nodes, set.ListOnRequest = nodes, true
+			set.NodeCount, set.ListOnRequest = nodes, true
 			h := newHost()
 			b, err := New(set, seed, h)
 			if err != nil {
 				t.Fatal(err)
 			}
-			r := &rig{t: t, b: b, h: h, now: time.Hour}
+			r := &runner{t: t, b: b, host: h, now: time.Hour}
 			next := func(within time.Duration) { // the next call begins
 				t.Helper()
-				calls, end := h.watches, r.now+within
-				for h.watches == calls {
-					if r.pass(5 * ms); r.now > end {
+				calls, end := h.callCount, r.now+within
+				for h.callCount == calls {
+					if r.advance(5 * ms); r.now > end {
 						t.Fatalf("%d nodes, seed %d: no call within %v", nodes, seed, within)
 					}
 				}
 			}
-			r.list(ListCached, ready(1, 60)...)
-			next(set.Rules.MustAsk)
-			r.list(ListChanges)
-			r.list(ListFailed) // the watch breaks
+			r.deliverList(ListCached, inServiceEntries(1, 60)...)
+			next(set.Rules.MaxCallInterval)
+			r.deliverList(ListChanges)
+			r.deliverList(ListFailed) // the watch breaks
 			next(told - call)
 			for _, took := range []time.Duration{0, time.Second, 2 * time.Second, 0, 2 * time.Second} {
-				r.pass(took)
-				r.list(ListFailed)
+				r.advance(took)
+				r.deliverList(ListFailed)
 				next(told - call - took)
 			}
 		}
@@ -176,22 +176,22 @@
 // the list first, so its call must not wait for as long as the settings let others wait.
 func TestNodesWithNoListAskForItSoon(t *testing.T) {
 	set := testSettings()
-	set.Nodes, set.ListOnRequest, set.Rules.MustAsk = 350, true, time.Minute
+	set.NodeCount, set.ListOnRequest, set.Rules.MaxCallInterval = 350, true, time.Minute
 	late := 0
-	for seed := range uint64(set.Nodes) {
+	for seed := range uint64(set.NodeCount) {
 		h := newHost()
 		b, err := New(set, seed, h)
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &rig{t: t, b: b, h: h, now: time.Hour}
-		r.list(ListCached)
-		if r.pass(10*time.Second - 2*time.Second); h.watches == 0 { // the call may take 2 s
+		r := &runner{t: t, b: b, host: h, now: time.Hour}
+		r.deliverList(ListCached)
+		if r.advance(10*time.Second - 2*time.Second); h.callCount == 0 { // the call may take 2 s
 			late++
 		}
 	}
-	if late > set.Nodes/10 {
-		t.Errorf("%d of %d restarted nodes are not ready within 10 s", late, set.Nodes)
+	if late > set.NodeCount/10 {
+		t.Errorf("%d of %d restarted nodes are not ready within 10 s", late, set.NodeCount)
 	}
 }
 
@@ -206,7 +206,7 @@
 // that it has not heard of, however large the fleet.
 func TestFirstCallComesBeforeItCountsAsTold(t *testing.T) {
 	set := testSettings()
-	set.Nodes, set.ListOnRequest = 400, true
+	set.NodeCount, set.ListOnRequest = 400, true
 	call := 500 * ms // what a call may take
 	for seed := range uint64(40) {
 		h := newHost()
@@ -214,29 +214,29 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &rig{t: t, b: b, h: h, now: time.Hour}
+		r := &runner{t: t, b: b, host: h, now: time.Hour}
 		expect := func(after string, within time.Duration) {
 			t.Helper()
-			calls := h.watches
-			r.pass(within - call)
-			if h.watches == calls {
+			calls := h.callCount
+			r.advance(within - call)
+			if h.callCount == calls {
 				t.Fatalf("seed %d: no call within %v of %s", seed, within-call, after)
 			}
-			r.list(ListChanges)
+			r.deliverList(ListChanges)
 		}
-		r.list(ListCached, ready(1, 60)...)
-		expect("the start", set.Rules.MustAsk)
-		r.list(ListFailed)
-		expect("the end of the watch", set.Rules.MustAsk)
-		r.list(ListSilent) // noticed 3 s after its call at the latest, which leaves 3 s
+		r.deliverList(ListCached, inServiceEntries(1, 60)...)
+		expect("the start", set.Rules.MaxCallInterval)
+		r.deliverList(ListFailed)
+		expect("the end of the watch", set.Rules.MaxCallInterval)
+		r.deliverList(ListSilent) // noticed 3 s after its call at the latest, which leaves 3 s
 		expect("a silent watch", 3*time.Second)
-		r.list(ListSilent)
-		calls := h.watches
-		r.pass(3*time.Second - call)
-		if h.watches == calls {
+		r.deliverList(ListSilent)
+		calls := h.callCount
+		r.advance(3*time.Second - call)
+		if h.callCount == calls {
 			t.Fatalf("seed %d: no call after a second silent watch", seed)
 		}
-		r.list(ListSilent) // the call that came of it
+		r.deliverList(ListSilent) // the call that came of it
 		expect("two silent watches", 3*time.Second)
 	}
 }
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -11,258 +11,258 @@
 // world plays a random script against one Balancer and checks the rules on each
 // action: one final answer in time, no effect twice, no send after a notice, no
 // attempt too many.
-type world struct {
+type ruleChecker struct {
 	*fakeHost
-	t        *testing.T
-	rng      *rand.Rand
-	b        *Balancer
-	now      time.Duration
-	open     map[RequestID]*played
-	answered map[RequestID]int
-	state    map[ServerID]Entry
+	t            *testing.T
+	rng          *rand.Rand
+	b            *Balancer
+	now          time.Duration
+	requests     map[RequestID]*checkedRequest
+	answerCounts map[RequestID]int
+	entries      map[ServerID]Entry
 }
 
-type played struct {
+type checkedRequest struct {
 	class    Class
-	end      time.Duration
-	attempts []*playedAttempt
+	deadline time.Duration
+	attempts []*checkedAttempt
 	done     bool
 }
 
-type playedAttempt struct {
-	server   Entry
-	sent     time.Duration
-	out      bool
-	neverRan bool
-	asked    bool // it was to be taken back
-	moot     bool // and will be
+type checkedAttempt struct {
+	server          Entry
+	sentAt          time.Duration
+	inFlight        bool
+	neverRan        bool
+	cancelRequested bool // it was to be taken back
+	willBeUnsent    bool // and will be
 }
 
-func (w *world) Send(id RequestID, server ServerID, timeout time.Duration) {
-	w.fakeHost.Send(id, server, timeout)
-	p, s := w.open[id], w.state[server]
+func (c *ruleChecker) Send(id RequestID, server ServerID, timeout time.Duration) {
+	c.fakeHost.Send(id, server, timeout)
+	checked, s := c.requests[id], c.entries[server]
 	switch {
-	case p == nil || p.done:
-		w.t.Errorf("%v: sent request %d, which is finished", w.now, id)
+	case checked == nil || checked.done:
+		c.t.Errorf("%v: sent request %d, which is finished", c.now, id)
 		return
 	case s.State != StateInService:
-		w.t.Errorf("%v: sent request %d to server %d in state %d", w.now, id, server, s.State)
-	case len(p.attempts) >= 4:
-		w.t.Errorf("%v: request %d has too many attempts", w.now, id)
+		c.t.Errorf("%v: sent request %d to server %d in state %d", c.now, id, server, s.State)
+	case len(checked.attempts) >= 4:
+		c.t.Errorf("%v: request %d has too many attempts", c.now, id)
 	}
 	end := time.Duration(0)
-	for _, a := range p.attempts {
+	for _, a := range checked.attempts {
 		if a.neverRan {
 			continue
 		}
-		if by := a.sent + p.class.Window; p.class.Effect == Keyed && (end == 0 || by < end) {
+		if by := a.sentAt + checked.class.DedupWindow; checked.class.Idempotency == IdempotentByKey && (end == 0 || by < end) {
 			end = by
 		}
-		if p.class.Effect == Unsafe {
-			w.t.Errorf("%v: unsafe request %d sent again though it may have run", w.now, id)
+		if checked.class.Idempotency == NonIdempotent {
+			c.t.Errorf("%v: unsafe request %d sent again though it may have run", c.now, id)
 		}
-		if p.class.Effect == Keyed && (a.server.Cell != s.Cell || w.now-a.sent >= p.class.Window) {
-			w.t.Errorf("%v: keyed request %d repeated out of its group or window", w.now, id)
+		if checked.class.Idempotency == IdempotentByKey && (a.server.Cell != s.Cell || c.now-a.sentAt >= checked.class.DedupWindow) {
+			c.t.Errorf("%v: keyed request %d repeated out of its group or window", c.now, id)
 		}
 	}
-	if writeBy := w.writeBy[id]; writeBy != end {
-		w.t.Errorf("%v: request %d may be written until %v, want %v", w.now, id, writeBy, end)
+	if writeBy := c.writeDeadlines[id]; writeBy != end {
+		c.t.Errorf("%v: request %d may be written until %v, want %v", c.now, id, writeBy, end)
 	}
-	p.attempts = append(p.attempts, &playedAttempt{server: s, sent: w.now, out: true})
+	checked.attempts = append(checked.attempts, &checkedAttempt{server: s, sentAt: c.now, inFlight: true})
 }
 
 // Withdraw takes back one attempt in two: the others have begun.
-func (w *world) Withdraw(id RequestID, attempt int) {
-	w.fakeHost.Withdraw(id, attempt)
-	p := w.open[id]
-	if p == nil || attempt >= len(p.attempts) || !p.attempts[attempt].out {
-		w.t.Errorf("%v: withdrew attempt %d of request %d, which is not out", w.now, attempt, id)
+func (c *ruleChecker) CancelUnsent(id RequestID, attempt int) {
+	c.fakeHost.CancelUnsent(id, attempt)
+	checked := c.requests[id]
+	if checked == nil || attempt >= len(checked.attempts) || !checked.attempts[attempt].inFlight {
+		c.t.Errorf("%v: withdrew attempt %d of request %d, which is not out", c.now, attempt, id)
 		return
 	}
-	a := p.attempts[attempt]
-	if !p.done && w.state[a.server.Server].State == StateInService {
-		w.t.Errorf("%v: withdrew request %d from server %d, which is ready", w.now, id, a.server.Server)
+	a := checked.attempts[attempt]
+	if !checked.done && c.entries[a.server.Server].State == StateInService {
+		c.t.Errorf("%v: withdrew request %d from server %d, which is ready", c.now, id, a.server.Server)
 	}
-	a.asked = true
-	a.moot = w.rng.IntN(2) == 0
+	a.cancelRequested = true
+	a.willBeUnsent = c.rng.IntN(2) == 0
 }
 
-func (w *world) answer(id RequestID) *played {
-	w.answered[id]++
-	p := w.open[id]
-	if p == nil || p.done {
-		w.t.Errorf("%v: request %d answered twice", w.now, id)
-		return &played{}
+func (c *ruleChecker) recordAnswer(id RequestID) *checkedRequest {
+	c.answerCounts[id]++
+	checked := c.requests[id]
+	if checked == nil || checked.done {
+		c.t.Errorf("%v: request %d answered twice", c.now, id)
+		return &checkedRequest{}
 	}
-	if w.now > p.end+20*ms {
-		w.t.Errorf("%v: request %d answered after its end at %v", w.now, id, p.end)
+	if c.now > checked.deadline+20*ms {
+		c.t.Errorf("%v: request %d answered after its end at %v", c.now, id, checked.deadline)
 	}
-	p.done = true
-	return p
+	checked.done = true
+	return checked
 }
 
-func (w *world) Refuse(id RequestID, after time.Duration, reason Reason) {
-	w.fakeHost.Refuse(id, after, reason)
-	p := w.answer(id)
-	for _, a := range p.attempts {
-		if !a.neverRan && p.class.Effect != Safe {
-			w.t.Errorf("%v: request %d refused though it may have run", w.now, id)
+func (c *ruleChecker) Refuse(id RequestID, after time.Duration, reason Reason) {
+	c.fakeHost.Refuse(id, after, reason)
+	checked := c.recordAnswer(id)
+	for _, a := range checked.attempts {
+		if !a.neverRan && checked.class.Idempotency != Idempotent {
+			c.t.Errorf("%v: request %d refused though it may have run", c.now, id)
 		}
 	}
 }
 
-func (w *world) Fail(id RequestID, reason Reason) {
-	w.fakeHost.Fail(id, reason)
-	w.answer(id)
+func (c *ruleChecker) Fail(id RequestID, reason Reason) {
+	c.fakeHost.Fail(id, reason)
+	c.recordAnswer(id)
 }
 
 // outcome ends attempt i of a request with a random status, or by its deadline.
-func (w *world) outcome(id RequestID, p *played, i int) {
-	a := p.attempts[i]
-	status := []Status{OK, OK, OK, Error, Full, Timeout, ConnectFailed, Reset}[w.rng.IntN(8)]
-	if w.now >= p.end {
+func (c *ruleChecker) endAttempt(id RequestID, checked *checkedRequest, i int) {
+	a := checked.attempts[i]
+	status := []Status{OK, OK, OK, ServerError, Rejected, Timeout, ConnectFailed, ConnectionReset}[c.rng.IntN(8)]
+	if c.now >= checked.deadline {
 		status = Timeout
 	}
-	if p.done {
+	if checked.done {
 		status = Cancelled
 	}
-	if a.moot {
-		status = Moot
+	if a.willBeUnsent {
+		status = NotSent
 	}
-	a.out = false
-	a.neverRan = status == Full || status == ConnectFailed || status == Moot
+	a.inFlight = false
+	a.neverRan = status == Rejected || status == ConnectFailed || status == NotSent
 	if status == OK {
-		w.answer(id)
+		c.recordAnswer(id)
 	}
-	w.b.Outcome(w.now, Outcome{ID: id, Attempt: i, Server: a.server.Server, Status: status,
-		Latency: w.now - a.sent, Ended: p.done})
+	c.b.AttemptEnded(c.now, Outcome{ID: id, Attempt: i, Server: a.server.Server, Status: status,
+		Latency: c.now - a.sentAt, RequestDone: checked.done})
 }
 
-func (w *world) step(ids []RequestID) {
+func (c *ruleChecker) step(ids []RequestID) {
 	for _, id := range ids {
-		p := w.open[id]
-		for i, a := range p.attempts {
-			if a.out && (w.now >= p.end || p.done || a.moot || w.rng.IntN(12) == 0) {
-				w.outcome(id, p, i)
+		checked := c.requests[id]
+		for i, a := range checked.attempts {
+			if a.inFlight && (c.now >= checked.deadline || checked.done || a.willBeUnsent || c.rng.IntN(12) == 0) {
+				c.endAttempt(id, checked, i)
 			}
 		}
-		if !p.done && w.rng.IntN(400) == 0 {
-			p.done = true
-			w.answered[id]++
-			w.b.Left(w.now, id)
+		if !checked.done && c.rng.IntN(400) == 0 {
+			checked.done = true
+			c.answerCounts[id]++
+			c.b.ClientDisconnected(c.now, id)
 		}
 	}
 	var due []timer
-	kept := w.timers[:0]
-	for _, t := range w.timers {
-		if t.at <= w.now {
+	pending := c.timers[:0]
+	for _, t := range c.timers {
+		if t.at <= c.now {
 			due = append(due, t)
 		} else {
-			kept = append(kept, t)
+			pending = append(pending, t)
 		}
 	}
-	w.timers = kept
+	c.timers = pending
 	for _, t := range due {
-		w.b.Timer(w.now, t.token)
+		c.b.TimerFired(c.now, t.token)
 	}
 }
 
 // change drains, removes, restarts or adds a server.
-func (w *world) change(start time.Duration) {
-	id := ServerID(1 + w.rng.IntN(12))
-	e := Entry{Server: id, Cell: int(id) / 3, Weight: 1, State: ServerState(w.rng.IntN(3))}
-	if w.rng.IntN(3) == 0 {
+func (c *ruleChecker) changeServer(start time.Duration) {
+	id := ServerID(1 + c.rng.IntN(12))
+	e := Entry{Server: id, Cell: int(id) / 3, Weight: 1, State: ServerState(c.rng.IntN(3))}
+	if c.rng.IntN(3) == 0 {
 		e.State, e.StartedAt = StateInService, start
 	}
-	w.state[id] = e
-	w.b.ListUpdated(w.now, ListChanges, []Entry{e})
-	for request, p := range w.open {
-		for i, a := range p.attempts {
-			if a.out && !p.done && a.server.Server == id && e.State != StateInService && !a.asked {
-				w.t.Errorf("%v: attempt %d of request %d at server %d was not taken back", w.now, i, request, id)
+	c.entries[id] = e
+	c.b.ListUpdated(c.now, ListChanges, []Entry{e})
+	for requestID, checked := range c.requests {
+		for i, a := range checked.attempts {
+			if a.inFlight && !checked.done && a.server.Server == id && e.State != StateInService && !a.cancelRequested {
+				c.t.Errorf("%v: attempt %d of request %d at server %d was not taken back", c.now, i, requestID, id)
 			}
 		}
 	}
 }
 
-func playScript(t *testing.T, seed uint64) []string {
-	set := testSettings()
-	set.Classes[0].LateWorth = 0.5
-	set.Tenants = []Tenant{{QuotaPerS: 50}}
-	set.Limits.Cancel = seed%2 == 0
-	w := &world{fakeHost: newHost(), t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Hour,
-		open: map[RequestID]*played{}, answered: map[RequestID]int{}, state: map[ServerID]Entry{}}
-	b, err := New(set, seed, w)
+func checkRandomEvents(t *testing.T, seed uint64) []string {
+	settings := testSettings()
+	settings.Classes[0].LateValueShare = 0.5
+	settings.Tenants = []Tenant{{QuotaPerSecond: 50}}
+	settings.Limits.AllowCancel = seed%2 == 0
+	checker := &ruleChecker{fakeHost: newHost(), t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: time.Hour,
+		requests: map[RequestID]*checkedRequest{}, answerCounts: map[RequestID]int{}, entries: map[ServerID]Entry{}}
+	b, err := New(settings, seed, checker)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.b = b
-	entries := ready(1, 8)
+	checker.b = b
+	entries := inServiceEntries(1, 8)
 	for i := range entries {
 		entries[i].Cell = int(entries[i].Server) / 3
-		w.state[entries[i].Server] = entries[i]
+		checker.entries[entries[i].Server] = entries[i]
 	}
-	b.ListUpdated(w.now, ListCached, entries)
+	b.ListUpdated(checker.now, ListCached, entries)
 	var ids []RequestID
 	for step := range 4000 {
-		w.now += 5 * ms
-		for range w.rng.IntN(4) {
+		checker.now += 5 * ms
+		for range checker.rng.IntN(4) {
 			if step >= 3500 {
 				break // let it run dry
 			}
 			id := RequestID(len(ids) + 1)
-			class := w.rng.IntN(3)
-			left := time.Duration(300+w.rng.IntN(1700)) * ms
+			class := checker.rng.IntN(3)
+			timeLeft := time.Duration(300+checker.rng.IntN(1700)) * ms
 			ids = append(ids, id)
-			w.open[id] = &played{class: set.Classes[class], end: w.now + left}
-			b.Request(w.now, Request{ID: id, Class: class, Key: uint64(w.rng.IntN(50)), Left: left})
+			checker.requests[id] = &checkedRequest{class: settings.Classes[class], deadline: checker.now + timeLeft}
+			b.RequestArrived(checker.now, Request{ID: id, Class: class, Key: uint64(checker.rng.IntN(50)), TimeLeft: timeLeft})
 		}
-		if w.rng.IntN(60) == 0 {
-			w.change(w.now)
+		if checker.rng.IntN(60) == 0 {
+			checker.changeServer(checker.now)
 		}
-		w.step(ids)
+		checker.step(ids)
 	}
 	for _, id := range ids {
-		if w.answered[id] != 1 {
-			t.Errorf("request %d got %d final answers", id, w.answered[id])
+		if checker.answerCounts[id] != 1 {
+			t.Errorf("request %d got %d final answers", id, checker.answerCounts[id])
 		}
 	}
-	if len(b.requests) > 0 || len(b.open) > 0 {
-		t.Errorf("%d requests and %d open ones remembered at the end", len(b.requests), len(b.open))
+	if len(b.requests) > 0 || len(b.activeRequests) > 0 {
+		t.Errorf("%d requests and %d open ones remembered at the end", len(b.requests), len(b.activeRequests))
 	}
-	return w.log
+	return checker.actions
 }
 
 func TestRulesHoldUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(6) {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playScript(t, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { checkRandomEvents(t, seed) })
 	}
 }
 
 func TestSameEventsAndSeedGiveTheSameActions(t *testing.T) {
-	one, two := playScript(t, 3), playScript(t, 3)
-	if a, b := strings.Join(one, "\n"), strings.Join(two, "\n"); a != b {
+	first, second := checkRandomEvents(t, 3), checkRandomEvents(t, 3)
+	if a, b := strings.Join(first, "\n"), strings.Join(second, "\n"); a != b {
 		t.Fatal("two runs of the same script differ")
 	}
 }
 
 func TestInterleavedInstancesActAsEachAlone(t *testing.T) {
-	drive := func(rigs ...*rig) {
+	drive := func(runners ...*runner) {
 		for i := range 300 {
-			for _, r := range rigs {
-				id := r.request(i % 3)
-				r.pass(7 * ms)
-				if n := len(r.sendsOf(id)); n > r.done[id] {
-					r.end(id, OK, 7*ms)
+			for _, r := range runners {
+				id := r.sendRequest(i % 3)
+				r.advance(7 * ms)
+				if n := len(r.serversSentTo(id)); n > r.outcomesGiven[id] {
+					r.endAttempt(id, OK, 7*ms)
 				}
 			}
 		}
 	}
-	alone, a, b := newRig(t, testSettings(), 5), newRig(t, testSettings(), 5), newRig(t, testSettings(), 5)
+	alone, a, b := newRunner(t, testSettings(), 5), newRunner(t, testSettings(), 5), newRunner(t, testSettings(), 5)
 	drive(alone)
 	drive(a, b)
-	want := strings.Join(alone.h.log, "\n")
-	if strings.Join(a.h.log, "\n") != want || strings.Join(b.h.log, "\n") != want {
+	want := strings.Join(alone.host.actions, "\n")
+	if strings.Join(a.host.actions, "\n") != want || strings.Join(b.host.actions, "\n") != want {
 		t.Fatal("instances that take turns act unlike one alone")
 	}
 }
--- a/policy/late_answers_test.go
+++ b/policy/late_answers_test.go
@@ -214,7 +214,7 @@
 			for seed := range uint64(seeds) {
 				m := newDiscoveryRun(t, false, nodes, seed, discoveryFault{})
 				m.advanceUntil(5*time.Second + time.Duration(seed)*237*ms)
-				m.list(ListAddressChanged)
+				m.deliverList(ListAddressChanged)
 				worst = max(worst, m.timeToLearnMissedChange(kind.turns))
 			}
 			if worst > maxAddressChangeDelay+maxLateness {
--- a/policy/lifecycle_judge_test.go
+++ b/policy/lifecycle_judge_test.go
@@ -332,7 +332,7 @@
 // toldRig is a judge of a process whose list of two servers, version 1 of source 1, is confirmed.
 func newConfirmedChecker() *lifecycleChecker {
 	checker := newLifecycleChecker(0, true, startsAtAddressChange)
-	checker.apply(0, listUpdate{Origin{1, 1}, ListWhole, ready(1, 2)})
+	checker.apply(0, listUpdate{Origin{1, 1}, ListWhole, inServiceEntries(1, 2)})
 	return checker
 }
 
@@ -343,7 +343,7 @@
 
 // The judge of the model has to catch each break of the rules, or the model proves nothing.
 func TestLifecycleCheckerCatchesSendsThatBreakTheRules(t *testing.T) {
-	inService := ready(1, 1)[0]
+	inService := inServiceEntries(1, 1)[0]
 	later := inService
 	later.StartedAt = time.Hour
 	for name, c := range map[string]struct {
@@ -353,25 +353,25 @@
 	}{
 		"told by changes":      {[]listUpdate{{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, 0)}}}, 0, sentToOutOfService},
 		"told gone":            {[]listUpdate{{Origin{1, 2}, ListChanges, []Entry{{Server: 1, State: StateGone}}}}, 0, sentToOutOfService},
-		"not named":            {[]listUpdate{{Origin{1, 2}, ListWhole, ready(2, 2)}}, 0, sentToOutOfService},
+		"not named":            {[]listUpdate{{Origin{1, 2}, ListWhole, inServiceEntries(2, 2)}}, 0, sentToOutOfService},
 		"told by a cut answer": {[]listUpdate{{Origin{1, 2}, ListPartial, []Entry{drainingEntry(1, 0)}}}, 0, sentToOutOfService},
 		"told by an earlier version": {[]listUpdate{
-			{Origin{1, 3}, ListWhole, ready(1, 2)}, {Origin{1, 2}, ListOutdated, ready(2, 2)}}, 0, sentToOutOfService},
+			{Origin{1, 3}, ListWhole, inServiceEntries(1, 2)}, {Origin{1, 2}, ListOutdated, inServiceEntries(2, 2)}}, 0, sentToOutOfService},
 		"told, and silence since": {[]listUpdate{{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, 0)}}}, 10 * maxReplicaLag, sentToOutOfService},
 		"told by a cut answer, and silence since": {
 			[]listUpdate{{Origin{1, 2}, ListPartial, []Entry{drainingEntry(1, 0)}}}, 10 * maxReplicaLag, sentToOutOfService},
 		"listed by another source, and silence since": {[]listUpdate{
 			{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, 0)}}, {Origin{2, 9}, ListAddressChanged, nil},
-			{Origin{2, 9}, ListWhole, ready(1, 2)}}, 10 * maxReplicaLag, sentToOutOfService},
+			{Origin{2, 9}, ListWhole, inServiceEntries(1, 2)}}, 10 * maxReplicaLag, sentToOutOfService},
 		"listed by a version that went back": {[]listUpdate{
-			{Origin{1, 5}, ListChanges, []Entry{drainingEntry(1, 0)}}, {Origin{1, 1}, ListWhole, ready(1, 2)}}, 10 * maxReplicaLag, sentToOutOfService},
+			{Origin{1, 5}, ListChanges, []Entry{drainingEntry(1, 0)}}, {Origin{1, 1}, ListWhole, inServiceEntries(1, 2)}}, 10 * maxReplicaLag, sentToOutOfService},
 		"listed by the second of two sources that told it": {[]listUpdate{
 			{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, 0)}}, {Origin{2, 1}, ListAddressChanged, nil},
-			{Origin{2, 1}, ListWhole, ready(2, 2)}, {Origin{2, 2}, ListChanges, []Entry{inService}}}, 0, sentToOutOfService},
+			{Origin{2, 1}, ListWhole, inServiceEntries(2, 2)}, {Origin{2, 2}, ListChanges, []Entry{inService}}}, 0, sentToOutOfService},
 		"an earlier start": {[]listUpdate{
-			{Origin{1, 2}, ListChanges, []Entry{later}}, {Origin{2, 9}, ListWhole, ready(1, 2)}}, 0, sentToFormerIncarnation},
+			{Origin{1, 2}, ListChanges, []Entry{later}}, {Origin{2, 9}, ListWhole, inServiceEntries(1, 2)}}, 0, sentToFormerIncarnation},
 		"a later start that is out, an earlier one listed": {[]listUpdate{
-			{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, time.Hour)}}, {Origin{2, 9}, ListWhole, ready(1, 2)}}, 0, sentToFormerIncarnation},
+			{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, time.Hour)}}, {Origin{2, 9}, ListWhole, inServiceEntries(1, 2)}}, 0, sentToFormerIncarnation},
 	} {
 		checker := newConfirmedChecker()
 		for _, event := range c.events {
@@ -391,22 +391,22 @@
 
 // It has to allow, and to call for, work of servers that are back.
 func TestLifecycleCheckerRequiresWorkForReturnedServers(t *testing.T) {
-	later := ready(1, 1)[0]
+	later := inServiceEntries(1, 1)[0]
 	later.StartedAt = time.Hour
 	told := listUpdate{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, 0)}}
 	for name, c := range map[string]struct {
 		events  []listUpdate
 		started time.Duration
 	}{
-		"a later version": {[]listUpdate{told, {Origin{1, 3}, ListChanges, ready(1, 1)}}, 0},
+		"a later version": {[]listUpdate{told, {Origin{1, 3}, ListChanges, inServiceEntries(1, 1)}}, 0},
 		"a later start, whoever tells it": {[]listUpdate{
-			told, {Origin{2, 1}, ListAddressChanged, nil}, {Origin{2, 1}, ListWhole, []Entry{later, ready(2, 2)[0]}}}, time.Hour},
+			told, {Origin{2, 1}, ListAddressChanged, nil}, {Origin{2, 1}, ListWhole, []Entry{later, inServiceEntries(2, 2)[0]}}}, time.Hour},
 		"a cut answer that a whole one corrects": {[]listUpdate{
-			{Origin{1, 2}, ListPartial, []Entry{drainingEntry(1, 0)}}, {Origin{1, 3}, ListWhole, ready(1, 2)}}, 0},
+			{Origin{1, 2}, ListPartial, []Entry{drainingEntry(1, 0)}}, {Origin{1, 3}, ListWhole, inServiceEntries(1, 2)}}, 0},
 		"a cut answer, and changes that do not name it": {[]listUpdate{
 			{Origin{1, 2}, ListPartial, []Entry{drainingEntry(1, 0)}}, {Origin{1, 3}, ListChanges, nil}}, 0},
 		"an earlier version, and the present one again": {[]listUpdate{
-			{Origin{1, 4}, ListWhole, ready(1, 2)}, {Origin{1, 3}, ListOutdated, ready(2, 2)}, {Origin{1, 4}, ListChanges, nil}}, 0},
+			{Origin{1, 4}, ListWhole, inServiceEntries(1, 2)}, {Origin{1, 3}, ListOutdated, inServiceEntries(2, 2)}, {Origin{1, 4}, ListChanges, nil}}, 0},
 	} {
 		checker := newConfirmedChecker()
 		for _, event := range c.events {
@@ -427,7 +427,7 @@
 		checker := newConfirmedChecker()
 		checker.apply(0, listUpdate{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, 0)}})
 		checker.apply(0, listUpdate{kind: ListAddressChanged})
-		checker.apply(0, listUpdate{Origin{2, 9}, ListWhole, ready(1, 2)})
+		checker.apply(0, listUpdate{Origin{2, 9}, ListWhole, inServiceEntries(1, 2)})
 		checker.apply(wait, listUpdate{Origin{2, 9}, ListChanges, nil})
 		allowed := checker.checkSend(wait, 1, 0) == noViolation
 		_, required := checker.mustGetWork(wait, 1)
@@ -441,7 +441,7 @@
 func TestLifecycleCheckerCatchesSendsByUnconfirmedLists(t *testing.T) {
 	for _, onRequest := range []bool{false, true} {
 		checker := newLifecycleChecker(0, onRequest, startsAtAddressChange)
-		checker.apply(0, listUpdate{Origin{1, 1}, ListCached, ready(1, 2)})
+		checker.apply(0, listUpdate{Origin{1, 1}, ListCached, inServiceEntries(1, 2)})
 		if got := checker.checkSend(maxConfirmationWait-1, 1, 0); got != sentUnconfirmed {
 			t.Errorf("asked %t: a send before the list is confirmed: %v", onRequest, got)
 		}
--- a/policy/lifecycle_run_test.go
+++ b/policy/lifecycle_run_test.go
@@ -49,7 +49,7 @@
 }
 
 // Withdraw implements Host.
-func (h *lifecycleHost) Withdraw(id RequestID, index int) {
+func (h *lifecycleHost) CancelUnsent(id RequestID, index int) {
 	for _, a := range h.attempts {
 		if a.request == id && a.index == index && !h.ignoresCancelUnsent {
 			a.cancelled = true
@@ -82,13 +82,13 @@
 
 // The other actions of a Host, at which the model does not look.
 
-func (h *lifecycleHost) WriteBy(RequestID, time.Duration)        {}
-func (h *lifecycleHost) Cancel(RequestID, int)                   {}
-func (h *lifecycleHost) Refuse(RequestID, time.Duration, Reason) {}
-func (h *lifecycleHost) Fail(RequestID, Reason)                  {}
-func (h *lifecycleHost) MarkReady()                              {}
-func (h *lifecycleHost) StartCall(Call)                          {}
-func (h *lifecycleHost) CancelCall(CallID)                       {}
+func (h *lifecycleHost) SetWriteDeadline(RequestID, time.Duration) {}
+func (h *lifecycleHost) Cancel(RequestID, int)                     {}
+func (h *lifecycleHost) Refuse(RequestID, time.Duration, Reason)   {}
+func (h *lifecycleHost) Fail(RequestID, Reason)                    {}
+func (h *lifecycleHost) MarkReady()                                {}
+func (h *lifecycleHost) StartCall(Call)                            {}
+func (h *lifecycleHost) CancelCall(CallID)                         {}
 
 // mutation stands in for a fault of the code, to show that the model finds it.
 type mutation struct {
@@ -116,7 +116,7 @@
 func lifecycleSettings(onRequest bool) Settings {
 	settings := testSettings()
 	settings.ListOnRequest, settings.ConfirmCachedList = onRequest, true
-	settings.Rules.ColdFrom = 1
+	settings.Rules.ColdCapacityShare = 1
 	return settings
 }
 
@@ -161,7 +161,7 @@
 			break
 		}
 		r.now = max(r.now, next.at)
-		r.balancer.Timer(r.now, next.token)
+		r.balancer.TimerFired(r.now, next.token)
 	}
 	r.now = end
 	r.probe()
@@ -172,7 +172,7 @@
 	for range lifecycleServers {
 		r.lastRequest++
 		r.openRequests = append(r.openRequests, r.lastRequest)
-		r.balancer.Request(r.now, Request{ID: r.lastRequest, Left: r.settings.Classes[0].Deadline})
+		r.balancer.RequestArrived(r.now, Request{ID: r.lastRequest, TimeLeft: r.settings.Classes[0].Deadline})
 	}
 	for server := ServerID(1); server <= lifecycleServers; server++ {
 		startedAt, required := r.mustGetWork(server)
@@ -196,15 +196,15 @@
 // endRequests has the clients of all open requests leave. Attempts that were withdrawn end as not sent.
 func (r *lifecycleRun) endRequests() {
 	for _, id := range r.openRequests {
-		r.balancer.Left(r.now, id)
+		r.balancer.ClientDisconnected(r.now, id)
 	}
 	r.openRequests = r.openRequests[:0]
 	for _, a := range r.host.attempts {
 		status := Cancelled
 		if a.cancelled {
-			status = Moot
+			status = NotSent
 		}
-		r.balancer.Outcome(r.now, Outcome{ID: a.request, Attempt: a.index, Server: a.server, Status: status, Ended: true})
+		r.balancer.AttemptEnded(r.now, Outcome{ID: a.request, Attempt: a.index, Server: a.server, Status: status, RequestDone: true})
 	}
 	r.host.attempts = r.host.attempts[:0]
 }
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -78,11 +78,11 @@
 	b.followSource(now, origin)
 	b.changesBase = origin.Version
 	b.applyList(now, origin, kind, entries, since)
-	if kind != ListCached && !b.set.LongPolling {
+	if kind != ListCached && !b.settings.LongPolling {
 		b.callAnswered(now, b.subscriptionCall(), true, true)
 	}
 	b.listChanged(now)
-	if kind != ListCached || !b.set.ConfirmCachedList {
+	if kind != ListCached || !b.settings.ConfirmCachedList {
 		b.startServing()
 	}
 }
@@ -100,7 +100,7 @@
 // listChanged has requests go by the list as it is now.
 func (b *Balancer) listChanged(now time.Duration) {
 	b.cancelUnsentOutOfService()
-	b.refreshed = -1
+	b.scoresUpdatedAt = -1
 	b.dispatch(now)
 }
 
@@ -109,10 +109,10 @@
 
 // takeBack withdraws what may still wait for a connection to a server that takes no new work.
 func (b *Balancer) cancelUnsentOutOfService() {
-	for _, r := range b.open {
+	for _, r := range b.activeRequests {
 		for i := range r.attempts {
-			if a := &r.attempts[i]; a.out && a.server.State != StateInService {
-				b.host.Withdraw(r.ID, i)
+			if a := &r.attempts[i]; a.inFlight && a.server.State != StateInService {
+				b.host.CancelUnsent(r.ID, i)
 			}
 		}
 	}
@@ -178,20 +178,20 @@
 func (b *Balancer) applyEntry(now time.Duration, kind ListKind, entry sourcedEntry) (lost bool) {
 	e := entry.Entry
 	orderKey := uint64(e.Server)
-	if b.boundToCell {
+	if b.hasCellDedup {
 		orderKey = uint64(e.Cell)
 	}
 	listed := listedServer{
-		sourcedEntry: entry, position: permutation.Position(orderKey, uint32(b.set.Node), uint32(b.set.Nodes)),
+		sourcedEntry: entry, position: permutation.Position(orderKey, uint32(b.settings.NodeIndex), uint32(b.settings.NodeCount)),
 		processStart: b.upSince(now, kind, e),
 	}
 	b.serverList.update(listed)
 	s := b.servers[e.Server]
 	if s != nil {
 		if e.StartedAt != s.StartedAt {
-			*s = server{rounding: s.rounding, openFor: openFirst, out: s.out, working: s.working}
+			*s = server{rounding: s.rounding, openFor: openFirst, inFlight: s.inFlight, working: s.working}
 		}
-		s.Entry, s.upSince, s.near = e, listed.processStart, e.Zone == b.set.Zone
+		s.Entry, s.upSince, s.inOwnZone = e, listed.processStart, e.Zone == b.settings.Zone
 	}
 	switch {
 	case s != nil && s.working:
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -49,7 +49,7 @@
 // succeeded closes the breaker. An answer to an older attempt lets an open one's trial come at once.
 func (s *server) succeeded(now time.Duration, a *attempt) {
 	s.failures = s.failures[:0]
-	s.answeredAt = now
+	s.lastAnswerAt = now
 	switch {
 	case s.breaker == halfOpen && s.trial == a:
 		s.breaker, s.trial, s.openFor = closed, nil, openFirst
@@ -61,41 +61,41 @@
 // judge takes an outcome into the server's health, but none of what a former process was sent.
 func (b *Balancer) judge(now time.Duration, r *request, a *attempt, o Outcome) {
 	s := a.server
-	if b.thin() && (o.Status == OK || o.Status == Full || o.Status == Timeout) {
+	if b.thin() && (o.Status == OK || o.Status == Rejected || o.Status == Timeout) {
 		b.press(now, r, o)
 	}
-	if a.sent < s.upSince {
+	if a.sentAt < s.upSince {
 		return
 	}
-	latency := o.Latency.Seconds() / b.loneLatency(r)
+	latency := o.Latency.Seconds() / b.unloadedLatencySeconds(r)
 	switch o.Status {
 	case OK:
 		s.outcomes.Add(now, true, latency)
 		before := s.breaker
 		s.succeeded(now, a)
 		b.reportBreakerChange(s, before)
-		if len(b.keys) >= keysKept {
-			clear(b.keys)
+		if len(b.lastServerByKey) >= maxTrackedKeys {
+			clear(b.lastServerByKey)
 		}
-		b.keys[r.Key] = s
+		b.lastServerByKey[r.Key] = s
 		if b.measure(a, r, o.Latency.Seconds()) && !b.thin() {
 			b.steer(now)
 		}
-	case Error, Reset, ConnectFailed:
+	case ServerError, ConnectionReset, ConnectFailed:
 		s.outcomes.Add(now, false, latency)
 		b.failed(now, a, false)
 	case Timeout:
 		// Impatient clients make short time-outs, which say nothing of the server.
-		if latency > b.meanLatency*silentAfter {
+		if latency > b.meanLatencyRatio*unresponsiveMultiple {
 			s.outcomes.Add(now, false, latency)
-			if !a.silent {
+			if !a.unresponsive {
 				b.failed(now, a, true)
 			}
 		}
-	case Full:
-		s.fullUntil = now + b.expected(r)
+	case Rejected:
+		s.fullUntil = now + b.expectedLatency(r)
 	case Cancelled:
-		s.outcomes.Add(now, !a.silent, max(latency, s.latency)) // it would have taken longer
+		s.outcomes.Add(now, !a.unresponsive, max(latency, s.latencyRatio)) // it would have taken longer
 	}
 	if s.trial == a {
 		s.trial = nil // no verdict: the next request is the trial
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -110,13 +110,13 @@
 // modelSettings has short requests that are wanted soon and longer ones of more worth.
 func modelSettings(nodes int) Settings {
 	set := testSettings()
-	set.Nodes = nodes
+	set.NodeCount = nodes
 	set.Classes = []Class{
-		{Deadline: 900 * ms, Aim: 350 * ms, Worth: 1, LateWorth: 0.3},
-		{Deadline: 4500 * ms, Aim: 900 * ms, Worth: 12, LateWorth: 0.1, Effect: Keyed, Scope: ScopeCell, Window: 3 * time.Second},
+		{Deadline: 900 * ms, LatencyTarget: 350 * ms, Value: 1, LateValueShare: 0.3},
+		{Deadline: 4500 * ms, LatencyTarget: 900 * ms, Value: 12, LateValueShare: 0.1, Idempotency: IdempotentByKey, DedupScope: DedupCell, DedupWindow: 3 * time.Second},
 	}
-	set.Limits = Limits{MaxAttempts: 3, SecondCopies: true, Cancel: true, MaxRetryAfter: 800 * ms}
-	set.Prices = Prices{Waste: 0.02, LateFail: 0.037}
+	set.Limits = Limits{MaxAttempts: 3, AllowHedging: true, AllowCancel: true, MaxRetryAfter: 800 * ms}
+	set.Penalties = Penalties{WastedWork: 0.02, LateFailure: 0.037}
 	return set
 }
 
@@ -155,7 +155,7 @@
 	for i := range model.nodes {
 		n := &modelNode{fleet: f, number: i, clients: map[RequestID]*modelClient{}, attempts: map[RequestID][]*modelAttempt{}}
 		set := f.set
-		set.Node, set.Zone = i, i%2
+		set.NodeIndex, set.Zone = i, i%2
 		var err error
 		if n.balancer, err = New(set, seed<<20+uint64(i), n); err != nil {
 			t.Fatal(err)
@@ -199,7 +199,7 @@
 		}
 		c.deadline = f.now + f.set.Classes[c.class].Deadline
 		c.work = modelWork[c.class] * math.Exp(0.45*f.rng.NormFloat64()-0.1)
-		f.asked[int((c.asked-modelStart)/time.Second)] += f.set.Classes[c.class].Worth
+		f.asked[int((c.asked-modelStart)/time.Second)] += f.set.Classes[c.class].Value
 		f.try(n, c)
 		f.arrive(n, base)
 	})
@@ -216,7 +216,7 @@
 	id := n.nextID
 	n.clients[id] = c
 	f.at(f.now+left, func() { n.event(func(b *Balancer) { n.leave(b, id) }) })
-	n.event(func(b *Balancer) { b.Request(f.now, Request{ID: id, Class: c.class, Left: left}) })
+	n.event(func(b *Balancer) { b.RequestArrived(f.now, Request{ID: id, Class: c.class, TimeLeft: left}) })
 }
 
 // leave ends a request at its client's deadline.
@@ -228,7 +228,7 @@
 		n.outcome(b, a, Timeout)
 	}
 	delete(n.clients, id)
-	b.Left(n.fleet.now, id)
+	b.ClientDisconnected(n.fleet.now, id)
 }
 
 // event hands an event to the policy and then carries its actions out.
@@ -249,13 +249,13 @@
 	now := n.fleet.now
 	c := n.clients[a.id]
 	if status == OK && c != nil {
-		if now-c.asked <= n.fleet.set.Classes[c.class].Aim {
-			n.fleet.served[int((c.asked-modelStart)/time.Second)] += n.fleet.set.Classes[c.class].Worth
+		if now-c.asked <= n.fleet.set.Classes[c.class].LatencyTarget {
+			n.fleet.served[int((c.asked-modelStart)/time.Second)] += n.fleet.set.Classes[c.class].Value
 		}
 		delete(n.clients, a.id)
 	}
-	b.Outcome(now, Outcome{ID: a.id, Attempt: a.index, Server: a.server, Status: status,
-		Ended: n.clients[a.id] == nil, Latency: now - a.sent})
+	b.AttemptEnded(now, Outcome{ID: a.id, Attempt: a.index, Server: a.server, Status: status,
+		RequestDone: n.clients[a.id] == nil, Latency: now - a.sent})
 }
 
 // again lets a client come back after it was turned away.
@@ -289,7 +289,7 @@
 }
 
 // WriteBy implements Host.
-func (n *modelNode) WriteBy(RequestID, time.Duration) {}
+func (n *modelNode) SetWriteDeadline(RequestID, time.Duration) {}
 
 // Cancel implements Host; the work goes on.
 func (n *modelNode) Cancel(id RequestID, index int) {
@@ -297,7 +297,7 @@
 }
 
 // Withdraw implements Host; every attempt is under way at once.
-func (n *modelNode) Withdraw(RequestID, int) {}
+func (n *modelNode) CancelUnsent(RequestID, int) {}
 
 // Refuse implements Host.
 func (n *modelNode) Refuse(id RequestID, retryAfter time.Duration, _ Reason) {
@@ -311,7 +311,7 @@
 
 // SetTimer implements Host.
 func (n *modelNode) SetTimer(at time.Duration, token uint64) {
-	n.fleet.at(at, func() { n.event(func(b *Balancer) { b.Timer(n.fleet.now, token) }) })
+	n.fleet.at(at, func() { n.event(func(b *Balancer) { b.TimerFired(n.fleet.now, token) }) })
 }
 
 // CallList implements Host.
@@ -326,7 +326,7 @@
 // take puts an attempt into the server's queue or turns it away.
 func (s *modelServer) take(f *fleet, a *modelAttempt) {
 	if len(s.queue) >= s.room {
-		f.at(f.now+2*ms, func() { a.node.event(func(b *Balancer) { a.node.outcome(b, a, Full) }) })
+		f.at(f.now+2*ms, func() { a.node.event(func(b *Balancer) { a.node.outcome(b, a, Rejected) }) })
 		return
 	}
 	s.queue = append(s.queue, a)
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -6,44 +6,44 @@
 )
 
 const (
-	backoffPart = 1.0 / 16 // first retry delay as a share of the class's aim; doubles
-	silentAfter = 4.0      // times the expected latency: an unanswered attempt counts as a failure
-	copyAfter   = 2.0      // times the expected latency: a second copy may go out
-	copyBudget  = 0.1      // second copies a request, and retries of a thin node
-	copyBurst   = 10.0     // saved up at most
+	firstBackoffShare     = 1.0 / 16 // first retry delay as a share of the class's aim; doubles
+	unresponsiveMultiple  = 4.0      // times the expected latency: an unanswered attempt counts as a failure
+	hedgeMultiple         = 2.0      // times the expected latency: a second copy may go out
+	hedgeTokensPerRequest = 0.1      // second copies a request, and retries of a thin node
+	maxHedgeTokens        = 10.0     // saved up at most
 )
 
 // retry waits for the backoff of a further attempt, or answers now if none fits.
-func (b *Balancer) retry(now time.Duration, r *request) {
-	first := time.Duration(float64(r.class.Aim) * backoffPart)
-	delay := b.jitter(first << (len(r.attempts) - 1))
+func (b *Balancer) scheduleRetry(now time.Duration, r *request) {
+	firstDelay := time.Duration(float64(r.class.LatencyTarget) * firstBackoffShare)
+	delay := b.jitter(firstDelay << (len(r.attempts) - 1))
 	possible := slices.ContainsFunc(b.subset, func(s *server) bool {
-		return s.breaker != open && !r.tried(s) && b.maySend(now, r, s)
+		return s.breaker != open && !r.hasTried(s) && b.maySend(now, r, s)
 	})
 	switch {
-	case !possible || now+delay+b.expected(r) > r.lastUse || b.thin() && b.copyTokens < 1:
-		b.giveUp(now, r, NoRetry)
+	case !possible || now+delay+b.expectedLatency(r) > r.lateValueUntil || b.thin() && b.hedgeTokens < 1:
+		b.refuseOrFail(now, r, NoRetry)
 		return
 	case b.thin(): // hundreds of nodes that try three times more where all is full are a storm
-		b.copyTokens--
+		b.hedgeTokens--
 	}
 	r.retryAt = now + delay
-	b.sweepLater(now)
+	b.scheduleSweep(now)
 }
 
 // giveUp answers a request that is not served: refused where that promise holds, else failed.
-func (b *Balancer) giveUp(now time.Duration, r *request, reason Reason) {
+func (b *Balancer) refuseOrFail(now time.Duration, r *request, reason Reason) {
 	if wait := b.retryAfter(now, r); r.mayRefuse(now + wait) {
 		b.host.Refuse(r.ID, wait, reason)
 	} else {
 		b.host.Fail(r.ID, reason)
 	}
-	b.finish(r)
+	b.finishRequest(r)
 }
 
 // retryAfter is the time until the next trial, or some to let a crowd pass.
 func (b *Balancer) retryAfter(now time.Duration, r *request) time.Duration {
-	wait := min(r.class.Aim/2, b.set.Limits.MaxRetryAfter)
+	wait := min(r.class.LatencyTarget/2, b.settings.Limits.MaxRetryAfter)
 	for _, s := range b.subset {
 		if s.breaker == open {
 			wait = min(wait, max(0, s.reopenAt-now))
@@ -53,11 +53,11 @@
 }
 
 // mayRefuse tells whether the promise of a refusal holds for a client that comes back then.
-func (r *request) mayRefuse(back time.Duration) bool {
+func (r *request) mayRefuse(returnAt time.Duration) bool {
 	for i := range r.attempts {
 		if !r.attempts[i].neverRan {
-			return r.class.Effect == Safe ||
-				r.class.Effect == Keyed && r.class.Scope == ScopeAll && back < r.windowEnd()
+			return r.class.Idempotency == Idempotent ||
+				r.class.Idempotency == IdempotentByKey && r.class.DedupScope == DedupAllServers && returnAt < r.dedupWindowEnd()
 		}
 	}
 	return true
@@ -65,33 +65,33 @@
 
 // windowEnd is when the window ends in which a further attempt is a repeat that its group drops,
 // counted from the first attempt that may have run; 0 where none may have.
-func (r *request) windowEnd() (by time.Duration) {
+func (r *request) dedupWindowEnd() (end time.Duration) {
 	for i := range r.attempts {
-		if a := &r.attempts[i]; !a.neverRan && r.class.Effect == Keyed && (by == 0 || a.sent+r.class.Window < by) {
-			by = a.sent + r.class.Window
+		if a := &r.attempts[i]; !a.neverRan && r.class.Idempotency == IdempotentByKey && (end == 0 || a.sentAt+r.class.DedupWindow < end) {
+			end = a.sentAt + r.class.DedupWindow
 		}
 	}
-	return by
+	return end
 }
 
 // watch counts attempts that a silent server leaves unanswered as failures, and sends second copies.
-func (b *Balancer) watch(now time.Duration, r *request) {
-	expected := b.expected(r)
+func (b *Balancer) checkInFlight(now time.Duration, r *request) {
+	expected := b.expectedLatency(r)
 	for i := range r.attempts {
 		a := &r.attempts[i]
-		age := float64(now - a.sent)
-		if a.out && !a.silent && age > silentAfter*float64(expected) && a.server.answeredAt < a.sent {
-			a.silent = true
+		age := float64(now - a.sentAt)
+		if a.inFlight && !a.unresponsive && age > unresponsiveMultiple*float64(expected) && a.server.lastAnswerAt < a.sentAt {
+			a.unresponsive = true
 			b.failed(now, a, true)
 		}
 	}
 	last := &r.attempts[len(r.attempts)-1]
-	overdue := last.out && float64(now-last.sent) > copyAfter*float64(expected)
-	if !overdue || r.out > 1 || !b.set.Limits.SecondCopies || b.copyTokens < 1 || now+expected > r.useful {
+	hedgeDue := last.inFlight && float64(now-last.sentAt) > hedgeMultiple*float64(expected)
+	if !hedgeDue || r.inFlight > 1 || !b.settings.Limits.AllowHedging || b.hedgeTokens < 1 || now+expected > r.valueUntil {
 		return
 	}
-	if s := b.pick(now, r); s != nil {
-		b.copyTokens--
+	if s := b.pickServer(now, r); s != nil {
+		b.hedgeTokens--
 		b.send(now, r, s)
 	}
 }
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -123,15 +123,15 @@
 
 func scaleSettings(nodes, tenants int) policy.Settings {
 	settings := policy.Defaults()
-	settings.Nodes = nodes
-	settings.Node = nodes / 2 // any one: not drawn, so that each run has the same subset
+	settings.NodeCount = nodes
+	settings.NodeIndex = nodes / 2 // any one: not drawn, so that each run has the same subset
 	settings.Classes = []policy.Class{{
-		Deadline: 2 * time.Second, Aim: 800 * time.Millisecond, Worth: 1, Effect: policy.Safe,
+		Deadline: 2 * time.Second, LatencyTarget: 800 * time.Millisecond, Value: 1, Idempotency: policy.Idempotent,
 	}}
-	settings.Limits = policy.Limits{MaxAttempts: 4, Cancel: true, MaxRetryAfter: time.Second}
+	settings.Limits = policy.Limits{MaxAttempts: 4, AllowCancel: true, MaxRetryAfter: time.Second}
 	settings.Tenants = make([]policy.Tenant, tenants)
 	for i := range settings.Tenants {
-		settings.Tenants[i].QuotaPerS = 2 * targetRequestsPerSecond / float64(tenants)
+		settings.Tenants[i].QuotaPerSecond = 2 * targetRequestsPerSecond / float64(tenants)
 	}
 	return settings
 }
@@ -166,7 +166,7 @@
 	for i := range requests {
 		n.advance(arrivalGap)
 		n.lastID++
-		n.balancer.Request(n.now, policy.Request{ID: n.lastID, Left: 2 * time.Second, Tenant: first + i})
+		n.balancer.RequestArrived(n.now, policy.Request{ID: n.lastID, TimeLeft: 2 * time.Second, Tenant: first + i})
 	}
 }
 
@@ -190,7 +190,7 @@
 			continue
 		}
 		due := heap.Pop(&n.timers).(timerEvent)
-		n.balancer.Timer(n.now, due.token)
+		n.balancer.TimerFired(n.now, due.token)
 	}
 }
 
@@ -199,9 +199,9 @@
 	oldest := n.out[0]
 	n.out = slices.Delete(n.out, 0, 1)
 	delete(n.attempts, oldest.id)
-	n.balancer.Outcome(n.now, policy.Outcome{
+	n.balancer.AttemptEnded(n.now, policy.Outcome{
 		ID: oldest.id, Attempt: oldest.attempt, Server: oldest.server,
-		Status: policy.OK, Ended: true, Latency: n.now - oldest.sent,
+		Status: policy.OK, RequestDone: true, Latency: n.now - oldest.sent,
 	})
 }
 
@@ -227,10 +227,10 @@
 func (n *scaleNode) Cancel(policy.RequestID, int) {}
 
 // Withdraw implements policy.Host.
-func (n *scaleNode) Withdraw(policy.RequestID, int) {}
+func (n *scaleNode) CancelUnsent(policy.RequestID, int) {}
 
 // WriteBy implements policy.Host.
-func (n *scaleNode) WriteBy(policy.RequestID, time.Duration) {}
+func (n *scaleNode) SetWriteDeadline(policy.RequestID, time.Duration) {}
 
 // CallList implements policy.Host.
 func (n *scaleNode) StartCall(policy.Call) {}
--- a/policy/score.go
+++ b/policy/score.go
@@ -7,30 +7,30 @@
 )
 
 const (
-	outcomesFor   = 10 * time.Second // and for how long: an avoided server is forgotten, then met again
+	outcomeWindow = 10 * time.Second // and for how long: an avoided server is forgotten, then met again
 	priorOutcomes = 3.0              // weight of the fleet's mean beside a server's own outcomes
-	successPart   = 0.7              // of the score
-	latencyPart   = 0.3              // of the score
+	successWeight = 0.7              // of the score
+	latencyWeight = 0.3              // of the score
 )
 
 type server struct {
 	Entry
-	upSince  time.Duration // by this node's clock; 0: for long
-	breaker  BreakerState
-	near     bool            // in this node's zone
-	working  bool            // in the subset
-	failures []time.Duration // consecutive failures within the window
-	openFor  time.Duration
-	reopenAt time.Duration // when open: turns half-open
-	trial    *attempt      // when half-open: the one trial that is out
+	upSince   time.Duration // by this node's clock; 0: for long
+	breaker   BreakerState
+	inOwnZone bool            // in this node's zone
+	working   bool            // in the subset
+	failures  []time.Duration // consecutive failures within the window
+	openFor   time.Duration
+	reopenAt  time.Duration // when open: turns half-open
+	trial     *attempt      // when half-open: the one trial that is out
 
-	outcomes   stats.Window // latencies as multiples of what a lone request of the class takes
-	answeredAt time.Duration
-	score      float64 // as of the last refresh
-	success    float64
-	latency    float64
+	outcomes     stats.Window // latencies as multiples of what a lone request of the class takes
+	lastAnswerAt time.Duration
+	score        float64 // as of the last refresh
+	successRate  float64
+	latencyRatio float64
 
-	out       []*attempt    // own attempts in flight, oldest first
+	inFlight  []*attempt    // own attempts in flight, oldest first
 	rounding  float64       // in [0,1): see bound
 	lone      stats.Mean    // latency, as a logarithm, of attempts sent while no other was out
 	fullUntil time.Duration // it turned a request away as full
@@ -41,65 +41,65 @@
 }
 
 // tally drops outcomes that are too old and sums up the rest over the fleet.
-func (b *Balancer) tally(now time.Duration) {
-	kept, good, latency := 0, 0, 0.0
+func (b *Balancer) updateSubsetMeans(now time.Duration) {
+	outcomes, successes, latencySum := 0, 0, 0.0
 	b.warm, b.warmRate, b.weight = 0, 0, 0
 	for _, s := range b.subset {
-		s.outcomes.Expire(now - outcomesFor)
+		s.outcomes.Expire(now - outcomeWindow)
 		b.weight += s.Weight / float64(len(b.subset))
 		if s.breaker == closed && b.coldShare(s.upSince, now) >= 1 {
 			b.warm++
 			b.warmRate += s.rate.PerSecond(now)
 		}
-		kept += s.outcomes.Count
-		good += s.outcomes.Successes
-		latency += s.outcomes.LatencySum
+		outcomes += s.outcomes.Count
+		successes += s.outcomes.Successes
+		latencySum += s.outcomes.LatencySum
 	}
-	if kept > 0 {
-		b.meanSuccess = float64(good) / float64(kept)
+	if outcomes > 0 {
+		b.meanSuccessRate = float64(successes) / float64(outcomes)
 	}
-	if good > 0 {
-		b.meanLatency = latency / float64(good)
+	if successes > 0 {
+		b.meanLatencyRatio = latencySum / float64(successes)
 	}
 }
 
 // refresh updates the scores: 0.7 x success + 0.3 x (1 - latency / the highest). Servers without
 // outcomes stand at the mean. An attempt in flight counts by its age: silence lowers the score early.
-func (b *Balancer) refresh(now time.Duration) {
-	if b.refreshed == now {
+func (b *Balancer) updateScores(now time.Duration) {
+	if b.scoresUpdatedAt == now {
 		return
 	}
-	b.refreshed = now
+	b.scoresUpdatedAt = now
 	b.countSends(now)
-	if b.feeders < min(subsetWidened*b.base, b.set.Nodes) {
+	if b.feeders < min(subsetWidened*b.base, b.settings.NodeCount) {
 		if _, capacity := b.inUse(now); capacity < subsetFailing*b.wanted {
 			b.choose(now)
 		}
 	}
-	b.tally(now)
-	b.usable = 0
+	b.updateSubsetMeans(now)
+	b.usableServers = 0
 	highest := 0.0
 	for _, s := range b.subset {
-		seen, good := float64(s.outcomes.Count), float64(s.outcomes.Successes)
-		s.success = (good + priorOutcomes*b.meanSuccess) / (seen + priorOutcomes)
-		s.latency = (s.outcomes.LatencySum + priorOutcomes*b.meanLatency) / (good + priorOutcomes)
-		if len(s.out) > 0 {
-			oldest := s.out[0]
-			age := (now - oldest.sent).Seconds() / b.loneLatency(oldest.request)
-			s.latency = max(s.latency, age)
+		outcomes, successes := float64(s.outcomes.Count), float64(s.outcomes.Successes)
+		s.successRate = (successes + priorOutcomes*b.meanSuccessRate) / (outcomes + priorOutcomes)
+		s.latencyRatio = (s.outcomes.LatencySum + priorOutcomes*b.meanLatencyRatio) / (successes + priorOutcomes)
+		if len(s.inFlight) > 0 {
+			oldest := s.inFlight[0]
+			age := (now - oldest.sentAt).Seconds() / b.unloadedLatencySeconds(oldest.request)
+			s.latencyRatio = max(s.latencyRatio, age)
 		}
 		if s.breaker == open && now >= s.reopenAt {
 			s.breaker, s.trial = halfOpen, nil
 			b.reportBreakerChange(s, open)
 		}
 		if s.breaker == closed {
-			highest = max(highest, s.latency)
-			b.usable++
+			highest = max(highest, s.latencyRatio)
+			b.usableServers++
 		} else if s.breaker == halfOpen && s.trial == nil {
-			b.usable++
+			b.usableServers++
 		}
 	}
 	for _, s := range b.subset {
-		s.score = successPart*s.success + latencyPart*(1-s.latency/max(highest, s.latency, 1e-9))
+		s.score = successWeight*s.successRate + latencyWeight*(1-s.latencyRatio/max(highest, s.latencyRatio, 1e-9))
 	}
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -16,120 +16,120 @@
 // figures for drains and cold servers.
 func Defaults() Settings {
 	return Settings{
-		Nodes:          1,
-		Node:           -1,
-		OverShareWorth: 1,
-		Limits:         Limits{MaxAttempts: 1},
+		NodeCount:           1,
+		NodeIndex:           -1,
+		OverQuotaValueShare: 1,
+		Limits:              Limits{MaxAttempts: 1},
 		Rules: Rules{
-			ColdFrom: 0.1, ColdFor: 30 * time.Second,
-			FallMultiple: 2, FallFor: time.Second,
-			MustAsk: 10 * time.Second, DrainGrace: 250 * time.Millisecond,
+			ColdCapacityShare: 0.1, ColdDuration: 30 * time.Second,
+			OverloadMultiple: 2, OverloadDuration: time.Second,
+			MaxCallInterval: 10 * time.Second, DrainGrace: 250 * time.Millisecond,
 		},
 	}
 }
 
 // New makes a Balancer. An impossible setting gives an error that names it.
-func New(set Settings, seed uint64, host Host) (*Balancer, error) {
-	if err := set.Check(); err != nil {
+func New(settings Settings, seed uint64, host Host) (*Balancer, error) {
+	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
 	b := &Balancer{
-		set: set, host: host, rng: rand.New(rand.NewPCG(seed, 0)),
-		serverList: serverList{Table: table.New(func(line listedServer) ServerID { return line.Server })}, wanted: subsetLeast, base: set.Nodes, feeders: set.Nodes,
-		servers: map[ServerID]*server{}, keys: map[uint64]*server{}, requests: map[RequestID]*request{}, tombstones: newTombstones(),
-		meanSuccess: 1, meanLatency: 1, refreshed: -1,
-		admitted: 1, limit: min(1, 3/float64(set.Nodes)),
+		settings: settings, host: host, rng: rand.New(rand.NewPCG(seed, 0)),
+		serverList: serverList{Table: table.New(func(line listedServer) ServerID { return line.Server })}, wanted: subsetLeast, base: settings.NodeCount, feeders: settings.NodeCount,
+		servers: map[ServerID]*server{}, lastServerByKey: map[uint64]*server{}, requests: map[RequestID]*request{}, tombstones: newTombstones(),
+		meanSuccessRate: 1, meanLatencyRatio: 1, scoresUpdatedAt: -1,
+		admitted: 1, limit: min(1, 3/float64(settings.NodeCount)),
 	}
-	if set.Node < 0 {
-		b.set.Node = rand.New(rand.NewPCG(seed, 1)).IntN(set.Nodes) // and the draws below stay as they are
+	if settings.NodeIndex < 0 {
+		b.settings.NodeIndex = rand.New(rand.NewPCG(seed, 1)).IntN(settings.NodeCount) // and the draws below stay as they are
 	}
-	b.set.Limits.MaxAttempts = min(set.Limits.MaxAttempts, attemptsMost)
-	for _, c := range set.Classes {
-		if c.Aim == 0 {
-			c.Aim = c.Deadline
+	b.settings.Limits.MaxAttempts = min(settings.Limits.MaxAttempts, maxAttemptsCap)
+	for _, c := range settings.Classes {
+		if c.LatencyTarget == 0 {
+			c.LatencyTarget = c.Deadline
 		}
 		b.classes = append(b.classes, class{
-			Class: c, lone: stats.Mean{Value: c.Aim.Seconds() / 4, Count: 1}, work: stats.Mean{Value: c.Aim.Seconds() / 4, Count: 1},
+			Class: c, lone: stats.Mean{Value: c.LatencyTarget.Seconds() / 4, Count: 1}, meanWork: stats.Mean{Value: c.LatencyTarget.Seconds() / 4, Count: 1},
 		})
 	}
-	b.allUnsafe = !slices.ContainsFunc(set.Classes, func(c Class) bool { return c.Effect != Unsafe })
+	b.allNonIdempotent = !slices.ContainsFunc(settings.Classes, func(c Class) bool { return c.Idempotency != NonIdempotent })
 	for i := range b.classes {
 		c := &b.classes[i]
-		b.boundToZone = b.boundToZone || c.Effect == Keyed && c.Scope == ScopeZone
-		b.boundToCell = b.boundToCell || c.Effect == Keyed && c.Scope == ScopeCell
-		c.patience = c.Aim.Seconds() * (1 + max(0, c.LateWorth-set.Prices.Waste-set.Prices.LateFail))
-		if set.WorthByWork {
-			b.classes[i].work.Value = 1
+		b.hasZoneDedup = b.hasZoneDedup || c.Idempotency == IdempotentByKey && c.DedupScope == DedupZone
+		b.hasCellDedup = b.hasCellDedup || c.Idempotency == IdempotentByKey && c.DedupScope == DedupCell
+		c.patience = c.LatencyTarget.Seconds() * (1 + max(0, c.LateValueShare-settings.Penalties.WastedWork-settings.Penalties.LateFailure))
+		if settings.ValueByWork {
+			b.classes[i].meanWork.Value = 1
 		}
 	}
 	b.typical = b.classes[0].lone.Value
-	for _, t := range set.Tenants {
-		rate := t.QuotaPerS / float64(set.Nodes)
-		b.tenants = append(b.tenants, stats.Bucket{PerSecond: rate, Tokens: rate})
+	for _, t := range settings.Tenants {
+		rate := t.QuotaPerSecond / float64(settings.NodeCount)
+		b.tenantQuotas = append(b.tenantQuotas, stats.Bucket{PerSecond: rate, Tokens: rate})
 	}
 	return b, nil
 }
 
 // Check returns an error that names the first impossible field.
-func (s *Settings) Check() error {
-	bad := func(field string, v any) error {
-		return fmt.Errorf("policy: setting %s is impossible: %v", field, v)
+func (s *Settings) Validate() error {
+	invalid := func(field string, value any) error {
+		return fmt.Errorf("policy: setting %s is impossible: %v", field, value)
 	}
-	number := func(v, least float64) bool { return v >= least && !math.IsInf(v, 1) } // NaN fails too
+	isFiniteFrom := func(value, minimum float64) bool { return value >= minimum && !math.IsInf(value, 1) } // NaN fails too
 	switch {
-	case s.Nodes < 1:
-		return bad("Nodes", s.Nodes)
+	case s.NodeCount < 1:
+		return invalid("Nodes", s.NodeCount)
 	case s.Zone < 0:
-		return bad("Zone", s.Zone)
+		return invalid("Zone", s.Zone)
 	case len(s.Classes) == 0:
-		return bad("Classes", "none given")
-	case !number(s.OverShareWorth, 0):
-		return bad("OverShareWorth", s.OverShareWorth)
-	case !number(s.Prices.Waste, 0):
-		return bad("Prices.Waste", s.Prices.Waste)
-	case !number(s.Prices.LateFail, 0):
-		return bad("Prices.LateFail", s.Prices.LateFail)
+		return invalid("Classes", "none given")
+	case !isFiniteFrom(s.OverQuotaValueShare, 0):
+		return invalid("OverShareWorth", s.OverQuotaValueShare)
+	case !isFiniteFrom(s.Penalties.WastedWork, 0):
+		return invalid("Prices.Waste", s.Penalties.WastedWork)
+	case !isFiniteFrom(s.Penalties.LateFailure, 0):
+		return invalid("Prices.LateFail", s.Penalties.LateFailure)
 	case s.Limits.MaxAttempts < 1:
-		return bad("Limits.MaxAttempts", s.Limits.MaxAttempts)
+		return invalid("Limits.MaxAttempts", s.Limits.MaxAttempts)
 	case s.Limits.MaxRetryAfter < 0:
-		return bad("Limits.MaxRetryAfter", s.Limits.MaxRetryAfter)
-	case !number(s.Rules.ColdFrom, 0) || s.Rules.ColdFrom > 1:
-		return bad("Rules.ColdFrom", s.Rules.ColdFrom)
-	case s.Rules.ColdFor < 0:
-		return bad("Rules.ColdFor", s.Rules.ColdFor)
-	case !number(s.Rules.FallMultiple, 0):
-		return bad("Rules.FallMultiple", s.Rules.FallMultiple)
-	case s.Rules.FallFor < 0:
-		return bad("Rules.FallFor", s.Rules.FallFor)
-	case s.Rules.MustAsk < 0:
-		return bad("Rules.MustAsk", s.Rules.MustAsk)
+		return invalid("Limits.MaxRetryAfter", s.Limits.MaxRetryAfter)
+	case !isFiniteFrom(s.Rules.ColdCapacityShare, 0) || s.Rules.ColdCapacityShare > 1:
+		return invalid("Rules.ColdFrom", s.Rules.ColdCapacityShare)
+	case s.Rules.ColdDuration < 0:
+		return invalid("Rules.ColdFor", s.Rules.ColdDuration)
+	case !isFiniteFrom(s.Rules.OverloadMultiple, 0):
+		return invalid("Rules.FallMultiple", s.Rules.OverloadMultiple)
+	case s.Rules.OverloadDuration < 0:
+		return invalid("Rules.FallFor", s.Rules.OverloadDuration)
+	case s.Rules.MaxCallInterval < 0:
+		return invalid("Rules.MustAsk", s.Rules.MaxCallInterval)
 	case s.Rules.DrainGrace < 0:
-		return bad("Rules.DrainGrace", s.Rules.DrainGrace)
+		return invalid("Rules.DrainGrace", s.Rules.DrainGrace)
 	}
 	for i, c := range s.Classes {
 		field := func(name string) string { return fmt.Sprintf("Classes[%d].%s", i, name) }
 		switch {
 		case c.Deadline <= 0:
-			return bad(field("Deadline"), c.Deadline)
-		case c.Aim < 0:
-			return bad(field("Aim"), c.Aim)
-		case !number(c.AimStretch, 0):
-			return bad(field("AimStretch"), c.AimStretch)
-		case !number(c.LateWorth, 0) || c.LateWorth > 1:
-			return bad(field("LateWorth"), c.LateWorth)
-		case !number(c.Worth, 0):
-			return bad(field("Worth"), c.Worth)
-		case c.Effect > Unsafe:
-			return bad(field("Effect"), c.Effect)
-		case c.Scope > ScopeCell:
-			return bad(field("Scope"), c.Scope)
-		case c.Window < 0:
-			return bad(field("Window"), c.Window)
+			return invalid(field("Deadline"), c.Deadline)
+		case c.LatencyTarget < 0:
+			return invalid(field("Aim"), c.LatencyTarget)
+		case !isFiniteFrom(c.TargetWorkFactor, 0):
+			return invalid(field("AimStretch"), c.TargetWorkFactor)
+		case !isFiniteFrom(c.LateValueShare, 0) || c.LateValueShare > 1:
+			return invalid(field("LateWorth"), c.LateValueShare)
+		case !isFiniteFrom(c.Value, 0):
+			return invalid(field("Worth"), c.Value)
+		case c.Idempotency > NonIdempotent:
+			return invalid(field("Effect"), c.Idempotency)
+		case c.DedupScope > DedupCell:
+			return invalid(field("Scope"), c.DedupScope)
+		case c.DedupWindow < 0:
+			return invalid(field("Window"), c.DedupWindow)
 		}
 	}
 	for i, t := range s.Tenants {
-		if !number(t.QuotaPerS, 0) {
-			return bad(fmt.Sprintf("Tenants[%d].QuotaPerS", i), t.QuotaPerS)
+		if !isFiniteFrom(t.QuotaPerSecond, 0) {
+			return invalid(fmt.Sprintf("Tenants[%d].QuotaPerS", i), t.QuotaPerSecond)
 		}
 	}
 	return nil
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -32,21 +32,21 @@
 // coldShare is the share of its capacity that a server has at least.
 func (b *Balancer) coldShare(started, now time.Duration) float64 {
 	age := max(0, now-started)
-	if started <= 0 || age >= b.set.Rules.ColdFor {
+	if started <= 0 || age >= b.settings.Rules.ColdDuration {
 		return 1
 	}
-	from := b.set.Rules.ColdFrom
-	return from + (1-from)*age.Seconds()/b.set.Rules.ColdFor.Seconds()
+	from := b.settings.Rules.ColdCapacityShare
+	return from + (1-from)*age.Seconds()/b.settings.Rules.ColdDuration.Seconds()
 }
 
 // meanShare is the share of its capacity that a ready server has, over all that are listed: a node
 // whose subset is colder than the rest must not send it more for that.
 func (b *Balancer) meanShare(now time.Duration) float64 {
 	d := &b.serverList
-	if now >= d.latestProcessStart+b.set.Rules.ColdFor {
+	if now >= d.latestProcessStart+b.settings.Rules.ColdDuration {
 		return 1
 	}
-	if d.meanShareAt < 0 || now-d.meanShareAt >= b.set.Rules.ColdFor/sharesEvery {
+	if d.meanShareAt < 0 || now-d.meanShareAt >= b.settings.Rules.ColdDuration/sharesEvery {
 		sum := 0.0
 		for i := range d.Entries {
 			if d.Entries[i].State == StateInService {
@@ -80,12 +80,12 @@
 	if s.coldAt == 0 {
 		s.coldAt, s.coldSaved = now, s.rounding*work
 	}
-	rate := part * b.set.Rules.FallMultiple * share * coldSafety
+	rate := part * b.settings.Rules.OverloadMultiple * share * coldSafety
 	if b.thin() { // up to twice where whole requests seldom fit in; the draw by cold share keeps the mean
-		sends := 2.5 * rate * b.set.Rules.FallFor.Seconds() / work
+		sends := 2.5 * rate * b.settings.Rules.OverloadDuration.Seconds() / work
 		rate *= 1 + 1/(1+sends*sends)
 	}
-	most := max(6*work, rate*b.set.Rules.FallFor.Seconds())
+	most := max(6*work, rate*b.settings.Rules.OverloadDuration.Seconds())
 	s.coldSaved = min(s.coldSaved+rate*(now-s.coldAt).Seconds(), most)
 	s.coldAt = now
 	return s.coldSaved >= work
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -18,10 +18,10 @@
 // enough for its breaker to open by what is remembered of it.
 func (b *Balancer) countSends(now time.Duration) {
 	elapsed := now - b.countedAt
-	if elapsed < outcomesFor {
+	if elapsed < outcomeWindow {
 		return
 	}
-	wanted := max(subsetLeast, float64(b.sends)/failuresToOpen*outcomesFor.Seconds()/elapsed.Seconds())
+	wanted := max(subsetLeast, float64(b.sends)/failuresToOpen*outcomeWindow.Seconds()/elapsed.Seconds())
 	b.countedAt, b.sends = now, 0
 	if wanted > subsetDrift*b.wanted || 2*wanted < b.wanted || b.feeders > b.base {
 		b.wanted = wanted
@@ -40,15 +40,15 @@
 		b.base = b.feedersWanted()
 	}
 	b.feeders = b.base
-	for b.work(); b.feeders < b.set.Nodes; b.work() {
+	for b.work(); b.feeders < b.settings.NodeCount; b.work() {
 		_, capacity := b.inUse(now)
 		if b.complete() && (b.feeders >= subsetWidened*b.base || capacity >= subsetFailing*b.wanted) {
 			break
 		}
-		b.feeders = min(int(math.Ceil(subsetDrift*float64(b.feeders))), b.set.Nodes)
+		b.feeders = min(int(math.Ceil(subsetDrift*float64(b.feeders))), b.settings.NodeCount)
 	}
 	for id, s := range b.servers {
-		if !s.working && len(s.out) == 0 && (s.State == StateGone || b.coldShare(s.upSince, now) >= 1) {
+		if !s.working && len(s.inFlight) == 0 && (s.State == StateGone || b.coldShare(s.upSince, now) >= 1) {
 			delete(b.servers, id)
 		}
 	}
@@ -62,7 +62,7 @@
 
 // feedersWanted gives the nodes that work with each server where each node works with as many as this one.
 func (b *Balancer) feedersWanted() int {
-	nodes := float64(b.set.Nodes)
+	nodes := float64(b.settings.NodeCount)
 	return int(min(math.Ceil(max(nodes*b.wanted/max(1, float64(b.serverList.inServiceCount)), feedersLeast)), nodes))
 }
 
@@ -84,7 +84,7 @@
 	if s == nil {
 		s = &server{
 			Entry: line.Entry, upSince: line.processStart, rounding: b.rng.Float64(), openFor: openFirst,
-			near: line.Zone == b.set.Zone,
+			inOwnZone: line.Zone == b.settings.Zone,
 		}
 		b.servers[line.Server] = s
 	}
@@ -103,7 +103,7 @@
 		return line.State == StateInService && int(line.position) >= b.feeders && zones[line.Zone] < 2
 	}
 	return len(b.subset) >= subsetLeast/2 &&
-		!(b.boundToZone && slices.ContainsFunc(b.serverList.Entries, missing))
+		!(b.hasZoneDedup && slices.ContainsFunc(b.serverList.Entries, missing))
 }
 
 // inUse counts the servers of the subset whose breaker is closed, and adds up the shares that they can bear.
@@ -119,5 +119,5 @@
 
 // perFeeder scales a figure for a server that all nodes work with to one of the subset.
 func (b *Balancer) perFeeder(figure float64) float64 {
-	return figure * float64(b.set.Nodes) / float64(b.feeders)
+	return figure * float64(b.settings.NodeCount) / float64(b.feeders)
 }
--- a/policy/thin_test.go
+++ b/policy/thin_test.go
@@ -6,11 +6,11 @@
 )
 
 // newThin is a node of a bank that outnumbers its servers.
-func newThin(t *testing.T) *rig {
+func newThin(t *testing.T) *runner {
 	set := testSettings()
-	set.Nodes = 100
-	set.Limits.SecondCopies = false
-	return newRig(t, set, 10)
+	set.NodeCount = 100
+	set.Limits.AllowHedging = false
+	return newRunner(t, set, 10)
 }
 
 // Guards servers against the further attempts of a whole fleet: where none is known to be
@@ -21,19 +21,19 @@
 	count := map[ServerID]int{}
 	for seed := range uint64(nodes) {
 		set := testSettings()
-		set.Nodes, set.Limits.SecondCopies = nodes, false
+		set.NodeCount, set.Limits.AllowHedging = nodes, false
 		h := newHost()
 		b, err := New(set, seed, h)
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &rig{t: t, b: b, h: h, now: time.Hour, done: map[RequestID]int{}}
-		r.list(ListCached, ready(1, servers)...)
-		r.serve(20, 0, 20*ms)
-		id := r.request(0)
-		r.end(id, Error, 20*ms)
-		r.pass(300 * ms)
-		if sends := r.sendsOf(id); len(sends) == 2 {
+		r := &runner{t: t, b: b, host: h, now: time.Hour, outcomesGiven: map[RequestID]int{}}
+		r.deliverList(ListCached, inServiceEntries(1, servers)...)
+		r.serveRequests(20, 0, 20*ms)
+		id := r.sendRequest(0)
+		r.endAttempt(id, ServerError, 20*ms)
+		r.advance(300 * ms)
+		if sends := r.serversSentTo(id); len(sends) == 2 {
 			count[sends[1]]++
 		}
 	}
@@ -52,7 +52,7 @@
 func TestStuckAttemptDoesNotBlockAThinNode(t *testing.T) {
 	r := newThin(t)
 	for range 5 {
-		if id := r.request(0); len(r.sendsOf(id)) != 1 {
+		if id := r.sendRequest(0); len(r.serversSentTo(id)) != 1 {
 			t.Fatalf("request %d is held behind others of this node", id)
 		}
 	}
@@ -64,11 +64,11 @@
 	r := newThin(t)
 	sent := func(latency time.Duration) (n int) {
 		for range 100 {
-			id := r.request(0)
-			r.pass(50 * ms)
-			if len(r.sendsOf(id)) > 0 {
+			id := r.sendRequest(0)
+			r.advance(50 * ms)
+			if len(r.serversSentTo(id)) > 0 {
 				n++
-				r.end(id, OK, latency)
+				r.endAttempt(id, OK, latency)
 			}
 		}
 		return n
@@ -90,19 +90,19 @@
 // Guards against the two controls sharing a clock: the bound of a node that sees enough
 // never grew while the thin node's control moved the time of the last step.
 func TestOutcomesLeaveTheBoundToSteer(t *testing.T) {
-	r := newRig(t, testSettings(), 2)
-	r.serve(3*loneNeeded, 0, 20*ms)
+	r := newRunner(t, testSettings(), 2)
+	r.serveRequests(3*loneNeeded, 0, 20*ms)
 	r.b.crowding = 0
 	before := r.b.limit
 	for range 20 {
 		var ids []RequestID
 		for range 12 { // some wait for room
-			ids = append(ids, r.request(0))
+			ids = append(ids, r.sendRequest(0))
 		}
-		r.pass(20 * ms)
+		r.advance(20 * ms)
 		for _, id := range ids {
-			if len(r.sendsOf(id)) > r.done[id] {
-				r.end(id, OK, 20*ms)
+			if len(r.serversSentTo(id)) > r.outcomesGiven[id] {
+				r.endAttempt(id, OK, 20*ms)
 			}
 		}
 	}
@@ -115,22 +115,22 @@
 // little in flight to see them crowd.
 func TestThinNodeDrawsByWeight(t *testing.T) {
 	r := newThin(t)
-	entries := ready(1, 10)
+	entries := inServiceEntries(1, 10)
 	for i := range 5 {
 		entries[i].Weight = 3
 	}
 	for i := range entries {
 		entries[i].Zone = 1
 	}
-	r.list(ListWhole, entries...)
+	r.deliverList(ListWhole, entries...)
 	large := 0
 	for range 400 {
-		id := r.request(0)
-		if r.sendsOf(id)[0] <= 5 {
+		id := r.sendRequest(0)
+		if r.serversSentTo(id)[0] <= 5 {
 			large++
 		}
-		r.pass(20 * ms)
-		r.end(id, OK, 20*ms)
+		r.advance(20 * ms)
+		r.endAttempt(id, OK, 20*ms)
 	}
 	if large < 270 || large > 330 { // three quarters
 		t.Fatalf("%d of 400 requests went to the servers of three times the weight", large)
@@ -142,17 +142,17 @@
 func TestTrialIsUnsafeWhereEveryClassIs(t *testing.T) {
 	set := testSettings()
 	set.Classes = set.Classes[2:]
-	r := newRig(t, set, 3)
+	r := newRunner(t, set, 3)
 	bad := r.b.subset[0]
 	for range failuresToOpen {
 		r.b.failed(r.now, &attempt{server: bad}, false)
 	}
-	r.pass(bad.reopenAt - r.now)
-	trial := r.request(0)
-	if got := r.sendsOf(trial); len(got) != 1 || got[0] != bad.Server {
+	r.advance(bad.reopenAt - r.now)
+	trial := r.sendRequest(0)
+	if got := r.serversSentTo(trial); len(got) != 1 || got[0] != bad.Server {
 		t.Fatalf("trial went to %v, want the half-open server %d", got, bad.Server)
 	}
-	r.end(trial, OK, 20*ms)
+	r.endAttempt(trial, OK, 20*ms)
 	if bad.breaker != closed {
 		t.Fatal("the breaker stays open after a good trial")
 	}
@@ -161,18 +161,18 @@
 // Guards against a storm of retries by many nodes when all servers turn requests away.
 func TestThinNodeHasARetryBudget(t *testing.T) {
 	r := newThin(t)
-	r.serve(20, 0, 20*ms)
-	before := len(r.h.sends)
+	r.serveRequests(20, 0, 20*ms)
+	before := len(r.host.sends)
 	for range 100 {
-		id := r.request(0)
+		id := r.sendRequest(0)
 		for range 4 {
-			if n := len(r.sendsOf(id)); n > r.done[id] {
-				r.end(id, Full, 0)
+			if n := len(r.serversSentTo(id)); n > r.outcomesGiven[id] {
+				r.endAttempt(id, Rejected, 0)
 			}
-			r.pass(200 * ms)
+			r.advance(200 * ms)
 		}
 	}
-	if n := len(r.h.sends) - before; n > 100+15 {
+	if n := len(r.host.sends) - before; n > 100+15 {
 		t.Fatalf("%d sends for 100 requests that were turned away, want about a tenth more", n)
 	}
 }
@@ -181,17 +181,17 @@
 func TestOneTimeoutHardlyLowersTheAdmittedShare(t *testing.T) {
 	r := newThin(t)
 	for i := range 60 {
-		id := r.request(0)
-		r.pass(200 * ms)
-		if len(r.sendsOf(id)) == 0 {
+		id := r.sendRequest(0)
+		r.advance(200 * ms)
+		if len(r.serversSentTo(id)) == 0 {
 			continue
 		}
 		if i%15 == 14 {
-			r.pass(time.Second)
-			r.end(id, Timeout, 1200*ms)
-			r.b.Left(r.now, id)
+			r.advance(time.Second)
+			r.endAttempt(id, Timeout, 1200*ms)
+			r.b.ClientDisconnected(r.now, id)
 		} else {
-			r.end(id, OK, 200*ms)
+			r.endAttempt(id, OK, 200*ms)
 		}
 	}
 	if r.b.admitted < 0.8 {
@@ -203,19 +203,19 @@
 // the draw follows what a server can do now.
 func TestThinNodeDrawsByColdShare(t *testing.T) {
 	r := newThin(t)
-	entries := ready(1, 10)
+	entries := inServiceEntries(1, 10)
 	for i := range entries {
 		entries[i].Zone = 1
 		if i < 5 {
 			entries[i].StartedAt = r.now // at 0.2 of its capacity
 		}
 	}
-	r.list(ListWhole, entries...)
-	r.b.refresh(r.now)
-	r.b.choices = append(r.b.choices[:0], r.b.subset...)
+	r.deliverList(ListWhole, entries...)
+	r.b.updateScores(r.now)
+	r.b.candidates = append(r.b.candidates[:0], r.b.subset...)
 	cold := 0
 	for range 6000 {
-		if r.b.draw(-1) < 5 {
+		if r.b.drawByWeight(-1) < 5 {
 			cold++
 		}
 	}
@@ -227,22 +227,22 @@
 // Guards against shedding what would be late where late answers still pay, and against
 // letting it through where the site charges for such work as much as it is worth.
 func TestShedsLaterWhereLateAnswersPay(t *testing.T) {
-	admitted := func(prices Prices) float64 {
+	admitted := func(prices Penalties) float64 {
 		set := testSettings()
-		set.Nodes = 100
-		set.Classes[0].LateWorth = 0.5
-		set.Prices = prices
-		r := newRig(t, set, 10)
+		set.NodeCount = 100
+		set.Classes[0].LateValueShare = 0.5
+		set.Penalties = prices
+		r := newRunner(t, set, 10)
 		for range 100 {
-			id := r.request(0)
-			r.pass(50 * ms)
-			if len(r.sendsOf(id)) > 0 {
-				r.end(id, OK, 500*ms) // 0.625 of the aim
+			id := r.sendRequest(0)
+			r.advance(50 * ms)
+			if len(r.serversSentTo(id)) > 0 {
+				r.endAttempt(id, OK, 500*ms) // 0.625 of the aim
 			}
 		}
 		return r.b.admitted
 	}
-	if free, dear := admitted(Prices{}), admitted(Prices{Waste: 0.3, LateFail: 0.3}); free < 0.99 || dear > 0.5 {
+	if free, dear := admitted(Penalties{}), admitted(Penalties{WastedWork: 0.3, LateFailure: 0.3}); free < 0.99 || dear > 0.5 {
 		t.Fatalf("admitted shares %.2f without prices and %.2f with, want all and less than half", free, dear)
 	}
 }
@@ -252,10 +252,10 @@
 func TestFloorOfTheAdmittedShareLetsServersRest(t *testing.T) {
 	r := newThin(t)
 	for range 2000 {
-		id := r.request(0)
-		r.pass(20 * ms)
-		if len(r.sendsOf(id)) > 0 {
-			r.end(id, OK, 1500*ms)
+		id := r.sendRequest(0)
+		r.advance(20 * ms)
+		if len(r.serversSentTo(id)) > 0 {
+			r.endAttempt(id, OK, 1500*ms)
 		}
 	}
 	if r.b.admitted > 0.06 || r.b.admitted <= 0 {
@@ -267,24 +267,24 @@
 // and an empty list leaves no capacity to divide by.
 func TestColdPartIsANumberWithoutCapacity(t *testing.T) {
 	r := newThin(t)
-	r.b.set.Rules.ColdFrom = 0
-	r.serve(20, 0, 20*ms)
-	cold := ready(1, 10)
+	r.b.settings.Rules.ColdCapacityShare = 0
+	r.serveRequests(20, 0, 20*ms)
+	cold := inServiceEntries(1, 10)
 	for i := range cold {
 		cold[i].StartedAt = r.now
 	}
-	r.list(ListWhole)
-	r.b.refresh(r.now)
-	r.list(ListWhole, cold...)
+	r.deliverList(ListWhole)
+	r.b.updateScores(r.now)
+	r.deliverList(ListWhole, cold...)
 	for _, s := range r.b.subset {
 		if r.b.coldBudget(s, r.now, 0.02) || s.coldSaved != s.coldSaved || s.coldSaved > 0.02 {
 			t.Fatalf("server %d may be sent work at its very start, saved %v", s.Server, s.coldSaved)
 		}
 	}
-	r.serve(200, 0, 50*ms)
+	r.serveRequests(200, 0, 50*ms)
 	sends := 0
 	for _, s := range r.b.subset {
-		sends += len(s.out) + s.outcomes.Count
+		sends += len(s.inFlight) + s.outcomes.Count
 	}
 	if sends == 0 {
 		t.Fatal("nothing is sent to a fleet that started cold")
@@ -297,10 +297,10 @@
 	r := newThin(t)
 	after := func(d time.Duration, latency time.Duration) float64 {
 		for end := r.now + d; r.now < end; {
-			id := r.request(0)
-			r.pass(50 * ms)
-			if len(r.sendsOf(id)) > 0 {
-				r.end(id, OK, latency)
+			id := r.sendRequest(0)
+			r.advance(50 * ms)
+			if len(r.serversSentTo(id)) > 0 {
+				r.endAttempt(id, OK, latency)
 			}
 		}
 		return r.b.admitted
--- a/policy/tombstone_faults_test.go
+++ b/policy/tombstone_faults_test.go
@@ -9,7 +9,7 @@
 const firstSource, secondSource SourceID = 1, 2
 
 // from takes in a list or changes of a source at a version.
-func (r *rig) deliverListFrom(source SourceID, version int64, kind ListKind, entries ...Entry) {
+func (r *runner) deliverListFrom(source SourceID, version int64, kind ListKind, entries ...Entry) {
 	r.b.ListUpdatedFrom(r.now, Origin{Source: source, Version: version}, kind, entries)
 }
 
@@ -19,16 +19,16 @@
 }
 
 // inService tells whether a server may be sent to.
-func (r *rig) inService(server ServerID) bool {
+func (r *runner) inService(server ServerID) bool {
 	line, listed := r.b.serverList.Get(server)
 	return listed && line.State == StateInService
 }
 
 // lifeRig has a balancer whose clock is far from its start, with two servers of firstSource at version 10;
 // server 1 has started at the given time.
-func newTwoServerRunner(t *testing.T, started time.Duration) *rig {
+func newTwoServerRunner(t *testing.T, started time.Duration) *runner {
 	t.Helper()
-	r := newRig(t, testSettings(), 2)
+	r := newRunner(t, testSettings(), 2)
 	r.now = time.Hour
 	r.deliverListFrom(firstSource, 10, ListWhole, incarnation(1, StateInService, started), incarnation(2, StateInService, 0))
 	return r
@@ -76,7 +76,7 @@
 	r.now += time.Second
 	r.deliverListFrom(firstSource, 10, ListWhole)
 	r.now += time.Second
-	r.deliverListFrom(firstSource, 10, ListWhole, ready(1, 2)...)
+	r.deliverListFrom(firstSource, 10, ListWhole, inServiceEntries(1, 2)...)
 	for began := r.now; !r.inService(1); r.now += 2 * time.Second {
 		if r.now-began > 5*time.Second {
 			t.Fatalf("no server is in service %v after the right list came", r.now-began)
@@ -94,8 +94,8 @@
 	r.deliverListFrom(firstSource, 11, ListAddressChanged)
 	began := r.now
 	for version := int64(100); r.now-began < 10*time.Minute && !r.inService(1); r.now += 10 * time.Second {
-		r.deliverListFrom(secondSource, version, ListWhole, ready(1, 2)...)
-		r.deliverListFrom(secondSource, version-1, ListWhole, ready(1, 2)...) // the other replica
+		r.deliverListFrom(secondSource, version, ListWhole, inServiceEntries(1, 2)...)
+		r.deliverListFrom(secondSource, version-1, ListWhole, inServiceEntries(1, 2)...) // the other replica
 		version++
 	}
 	if held := r.now - began; held > maxReplicaLag+20*time.Second {
