--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -25,46 +25,46 @@
 	hasZoneDedup     bool // there are classes whose repeats are bound to a zone,
 	hasCellDedup     bool // or to a cell
 
-	serverList      serverList
-	servers         map[ServerID]*server // those that this node has to do with
-	subset          []*server            // those that it works with, all of them ready
-	base            int                  // nodes that work with each server if all are like this one,
-	feeders         int                  // and with those of the subset if it was widened
-	wanted          float64              // servers that the load wants it to have
-	sends           int                  // attempts since countedAt
-	countedAt       time.Duration
-	weight          float64 // mean of the subset
-	usableServers   int     // closed or awaiting a trial, as of the last refresh
-	candidates      []*server
-	lastServerByKey map[uint64]*server // who served a key last
+	serverList          serverList
+	servers             map[ServerID]*server // those that this node has to do with
+	subset              []*server            // those that it works with, all of them ready
+	baseNodesPerServer  int                  // nodes that work with each server if all are like this one,
+	nodesPerServer      int                  // and with those of the subset if it was widened
+	targetSubsetSize    float64              // servers that the load wants it to have
+	attemptsSinceResize int                  // attempts since countedAt
+	resizedAt           time.Duration
+	meanWeight          float64 // mean of the subset
+	usableServers       int     // closed or awaiting a trial, as of the last refresh
+	candidates          []*server
+	lastServerByKey     map[uint64]*server // who served a key last
 
 	requests       map[RequestID]*request
 	activeRequests []*request // those that are not done
 	queue          []*request // those that wait for room, the most worth first
 
-	scoresUpdatedAt  time.Duration
-	meanSuccessRate  float64
-	meanLatencyRatio float64     // multiple of a lone request's
-	demand           stats.Meter // work asked for
-	warm             int         // warm servers whose breaker is closed, as of the last refresh
-	warmRate         float64     // work a second sent to them
-	out              int         // own attempts in flight
-	limit            float64     // bound on them for each ready server; may be below one
-	loneSeen         int
-	crowded          bool
-	limitKnown       float64 // the highest lately without a crowd
-	typical          float64 // mean latency of late, seconds
-	steered          time.Duration
-	crowding         float64 // mean latency over a lone request's at the same server, as a logarithm
-	pressure         float64 // mean latency as a share of the aim
-	pressedAt        time.Duration
-	admitted         float64 // share of the requests that go out
-	overPart         float64 // share of the requests that lie beyond their tenant's share
-	hedgeTokens      float64
-	sweepScheduled   bool
-	calls            callState
-	readyReported    bool // the host was told Ready
-	serving          bool // requests are served
+	scoresUpdatedAt       time.Duration
+	meanSuccessRate       float64
+	meanLatencyRatio      float64     // multiple of a lone request's
+	demand                stats.Meter // work asked for
+	warmServers           int         // warm servers whose breaker is closed, as of the last refresh
+	warmWorkPerSecond     float64     // work a second sent to them
+	inFlight              int         // own attempts in flight
+	concurrencyLimit      float64     // bound on them for each ready server; may be below one
+	unloadedSamples       int
+	sawCongestion         bool
+	knownGoodLimit        float64 // the highest lately without a crowd
+	typicalLatencySeconds float64 // mean latency of late, seconds
+	controlUpdatedAt      time.Duration
+	meanLogLatencyRatio   float64 // mean latency over a lone request's at the same server, as a logarithm
+	loadSignal            float64 // mean latency as a share of the aim
+	loadSignalAt          time.Duration
+	admittedShare         float64 // share of the requests that go out
+	overQuotaShare        float64 // share of the requests that lie beyond their tenant's share
+	hedgeTokens           float64
+	sweepScheduled        bool
+	calls                 callState
+	readyReported         bool // the host was told Ready
+	serving               bool // requests are served
 
 	listOrigin          Origin        // of the latest whole answer
 	changesBase         int64         // its version, for what spans the next changes
--- a/policy/bound_test.go
+++ b/policy/bound_test.go
@@ -6,78 +6,78 @@
 )
 
 // steerFor steers the bound for a while at a steady crowding.
-func steerFor(b *Balancer, from, d time.Duration, crowding float64) {
-	for t := from; t < from+d; t += 10 * ms {
-		b.crowding = crowding
-		b.steer(t)
+func updateLimitFor(b *Balancer, from, duration time.Duration, logLatencyRatio float64) {
+	for now := from; now < from+duration; now += 10 * ms {
+		b.meanLogLatencyRatio = logLatencyRatio
+		b.updateConcurrencyLimit(now)
 	}
 }
 
-func newSteered(t *testing.T) (*runner, *Balancer) {
+func newLimitRunner(t *testing.T) (*runner, *Balancer) {
 	r := newRunner(t, testSettings(), 4)
-	r.b.loneSeen, r.b.typical, r.b.steered = loneNeeded, 0.1, r.now
+	r.b.unloadedSamples, r.b.typicalLatencySeconds, r.b.controlUpdatedAt = minUnloadedSamples, 0.1, r.now
 	r.b.queue = append(r.b.queue, &request{done: true}) // someone waits
 	return r, r.b
 }
 
 // Guards against a bound that grows unused in quiet times and is none when a crowd comes.
-func TestBoundGrowsOnlyWhileRequestsWait(t *testing.T) {
-	r, b := newSteered(t)
-	before := b.limit
+func TestLimitGrowsOnlyWhileRequestsWait(t *testing.T) {
+	r, b := newLimitRunner(t)
+	before := b.concurrencyLimit
 	waiting := b.queue
 	b.queue = nil
-	steerFor(b, r.now, time.Second, 0)
-	if b.limit != before {
-		t.Fatalf("bound went from %v to %v though nothing waits", before, b.limit)
+	updateLimitFor(b, r.now, time.Second, 0)
+	if b.concurrencyLimit != before {
+		t.Fatalf("bound went from %v to %v though nothing waits", before, b.concurrencyLimit)
 	}
 	b.queue = waiting
-	steerFor(b, r.now+time.Second, time.Second, 0)
-	if b.limit <= before {
+	updateLimitFor(b, r.now+time.Second, time.Second, 0)
+	if b.concurrencyLimit <= before {
 		t.Fatal("bound did not grow while requests wait and servers are not crowded")
 	}
 }
 
 // Guards against growing before there is anything to tell a crowd by.
-func TestBoundWaitsForAYardstick(t *testing.T) {
-	r, b := newSteered(t)
-	b.loneSeen = loneNeeded - 1
-	before := b.limit
-	steerFor(b, r.now, time.Second, 0)
-	if b.limit != before {
+func TestLimitWaitsForUnloadedLatencies(t *testing.T) {
+	r, b := newLimitRunner(t)
+	b.unloadedSamples = minUnloadedSamples - 1
+	before := b.concurrencyLimit
+	updateLimitFor(b, r.now, time.Second, 0)
+	if b.concurrencyLimit != before {
 		t.Fatal("bound grew before lone latencies were known")
 	}
 }
 
 // Guards against servers that get less done the more they hold, and against a fleet
 // that is slow as a whole starving itself.
-func TestBoundShrinksInACrowdButNotFarBelowWhatWasGood(t *testing.T) {
-	r, b := newSteered(t)
-	b.crowded, b.limit, b.limitKnown = true, 8, 4
-	steerFor(b, r.now, 5*time.Second, 1)
-	if b.limit >= 8 {
+func TestLimitShrinksUnderCongestionButNotFarBelowTheKnownGood(t *testing.T) {
+	r, b := newLimitRunner(t)
+	b.sawCongestion, b.concurrencyLimit, b.knownGoodLimit = true, 8, 4
+	updateLimitFor(b, r.now, 5*time.Second, 1)
+	if b.concurrencyLimit >= 8 {
 		t.Fatal("bound did not shrink in a crowd")
 	}
-	steerFor(b, r.now+5*time.Second, 20*time.Second, 1)
-	if b.limit < 2 || b.limit > 4 {
-		t.Fatalf("bound %v after 25 s of slowness, want it near the known 4", b.limit)
+	updateLimitFor(b, r.now+5*time.Second, 20*time.Second, 1)
+	if b.concurrencyLimit < 2 || b.concurrencyLimit > 4 {
+		t.Fatalf("bound %v after 25 s of slowness, want it near the known 4", b.concurrencyLimit)
 	}
 }
 
 // Guards against the overshoot of the start's fast growth, which answers reveal late.
-func TestFirstCrowdTakesTheBoundBackAtOnce(t *testing.T) {
-	r, b := newSteered(t)
-	b.limit = 10
-	steerFor(b, r.now, 10*ms, 1)
-	if b.limit > 7 {
-		t.Fatalf("bound %v after the first sign of a crowd, want well below 10", b.limit)
+func TestFirstCongestionCutsTheLimitAtOnce(t *testing.T) {
+	r, b := newLimitRunner(t)
+	b.concurrencyLimit = 10
+	updateLimitFor(b, r.now, 10*ms, 1)
+	if b.concurrencyLimit > 7 {
+		t.Fatalf("bound %v after the first sign of a crowd, want well below 10", b.concurrencyLimit)
 	}
 }
 
 // Guards against one request a server from each of many nodes, which is a crowd.
-func TestManyNodesHoldLessThanOneRequestAServer(t *testing.T) {
-	set := testSettings()
-	set.NodeCount = 10
-	r := newRunner(t, set, 20)
+func TestManyNodesSendLessThanOneRequestPerServer(t *testing.T) {
+	settings := testSettings()
+	settings.NodeCount = 10
+	r := newRunner(t, settings, 20)
 	for range 50 {
 		r.sendRequest(0)
 	}
@@ -87,49 +87,49 @@
 }
 
 // Guards against a yardstick that grows with the crowd: alone among ours is not alone.
-func TestLoneLatenciesAreLearntOnlyInAQuietFleet(t *testing.T) {
-	set := testSettings()
-	set.NodeCount = 7
-	r := newRunner(t, set, 7)
-	r.b.limit = 2
-	lone := 0
+func TestUnloadedLatenciesAreLearnedOnlyAtLowLoad(t *testing.T) {
+	settings := testSettings()
+	settings.NodeCount = 7
+	r := newRunner(t, settings, 7)
+	r.b.concurrencyLimit = 2
+	unloadedCount := 0
 	for range 7 {
 		id := r.sendRequest(0)
-		if a := &r.b.requests[id].attempts[0]; a.lone {
-			lone++
+		if a := &r.b.requests[id].attempts[0]; a.atUnloadedServer {
+			unloadedCount++
 		}
 	}
-	if lone == 0 || lone > 4 {
-		t.Fatalf("%d of 7 requests count as lone, want the first few", lone)
+	if unloadedCount == 0 || unloadedCount > 4 {
+		t.Fatalf("%d of 7 requests count as lone, want the first few", unloadedCount)
 	}
 }
 
 // Guards against a class mean that moves on after servers were measured against it.
-func TestYardstickStaysOnceSettled(t *testing.T) {
+func TestReferenceLatencyStaysOnceSettled(t *testing.T) {
 	r := newRunner(t, testSettings(), 4)
-	r.serveRequests(loneSettled, 0, 50*ms)
-	want := r.b.classes[0].yardstick
+	r.serveRequests(referenceLatencySamples, 0, 50*ms)
+	want := r.b.classes[0].referenceLatencySeconds
 	if want == 0 {
 		t.Fatal("no yardstick after enough lone requests")
 	}
 	r.serveRequests(50, 0, 150*ms)
-	if got := r.b.classes[0].yardstick; got != want {
+	if got := r.b.classes[0].referenceLatencySeconds; got != want {
 		t.Fatalf("yardstick moved from %v to %v", want, got)
 	}
-	if r.b.classes[0].lone.Value <= want {
+	if r.b.classes[0].meanUnloadedLatencySeconds.Value <= want {
 		t.Fatal("the class's own mean must follow")
 	}
 }
 
 // Guards against a stop of all sends when servers that hold our attempts vanish.
-func TestAttemptsAtOpenServersDoNotFillTheBound(t *testing.T) {
+func TestAttemptsAtOpenServersDoNotUseUpTheLimit(t *testing.T) {
 	r := newRunner(t, testSettings(), 4)
 	for range 4 {
 		r.sendRequest(0)
 	}
 	for _, s := range r.b.subset[:2] {
 		for range failuresToOpen {
-			r.b.failed(r.now, &attempt{server: s}, false)
+			r.b.recordFailure(r.now, &attempt{server: s}, false)
 		}
 	}
 	for _, s := range r.b.subset[2:] {
@@ -142,7 +142,7 @@
 	}
 }
 
-func TestEqualServersGoByZone(t *testing.T) {
+func TestTiesGoToTheOwnZone(t *testing.T) {
 	near, far := &server{inOwnZone: true}, &server{}
 	if betterServer(far, near) != near || betterServer(near, far) != near {
 		t.Fatal("among equals the own zone must win")
@@ -153,11 +153,11 @@
 	}
 }
 
-func TestWarmServerIsOneOfTheTwo(t *testing.T) {
-	set := testSettings()
-	set.KeyAffinity = true
-	r := newRunner(t, set, 4) // one zone
-	ask := func() ServerID {
+func TestLastServerOfAKeyIsOneOfTheTwoCandidates(t *testing.T) {
+	settings := testSettings()
+	settings.KeyAffinity = true
+	r := newRunner(t, settings, 4) // one zone
+	sendRequest := func() ServerID {
 		r.lastID++
 		r.b.RequestArrived(r.now, Request{ID: r.lastID, Key: 42, TimeLeft: time.Second})
 		s := r.serversSentTo(r.lastID)[0]
@@ -166,20 +166,20 @@
 		r.advance(10 * ms) // scores are brought up to date once an instant
 		return s
 	}
-	first := ask()
+	first := sendRequest()
 	for range 20 {
-		if s := ask(); s != first {
+		if s := sendRequest(); s != first {
 			t.Fatalf("key went to %d, though %d is warm and idle", s, first)
 		}
 	}
 }
 
 // Guards against ordering held requests by a guess that busy fleets never correct.
-func TestWorthForWorkFollowsAllAnswers(t *testing.T) {
+func TestValuePerWorkFollowsAllAnswers(t *testing.T) {
 	r := newRunner(t, testSettings(), 2)
 	heavy := &request{class: &r.b.classes[0]}
 	for range 50 {
-		r.b.measure(&attempt{server: r.b.subset[0]}, heavy, 0.9) // never alone
+		r.b.recordLatency(&attempt{server: r.b.subset[0]}, heavy, 0.9) // never alone
 	}
 	r.sendRequest(0) // fills a server, as does the next
 	r.sendRequest(0)
--- a/policy/clock_test.go
+++ b/policy/clock_test.go
@@ -22,7 +22,7 @@
 			started := r.now - 500*ms
 			r.deliverList(ListChanges, Entry{Server: 1, State: StateInService, StartedAt: started + step, Weight: 1})
 			s := r.b.servers[1]
-			share := func() float64 { return r.b.coldShare(s.upSince, r.now) }
+			share := func() float64 { return r.b.capacityShare(s.processStart, r.now) }
 			if share() > 0.6 {
 				t.Errorf("a server that has just started counts as %.2f warm", share())
 			}
@@ -31,7 +31,7 @@
 			}
 			for range failuresToOpen {
 				a := attempt{server: s, sentAt: r.now}
-				r.b.failed(r.now, &a, false)
+				r.b.recordFailure(r.now, &a, false)
 			}
 			if s.breaker != open {
 				t.Error("its breaker can't open")
@@ -47,16 +47,16 @@
 	r.deliverList(ListWhole, inServiceEntries(1, 2)...)
 	again := Entry{Server: 1, State: StateInService, StartedAt: r.now + time.Hour, Weight: 1}
 	r.deliverList(ListChanges, again)
-	first := r.b.servers[1].upSince
+	first := r.b.servers[1].processStart
 	r.advance(5 * time.Second)
 	r.deliverList(ListChanges, again)
 	r.deliverList(ListWhole, again, inServiceEntries(2, 2)[0])
-	if got := r.b.servers[1].upSince; got != first {
+	if got := r.b.servers[1].processStart; got != first {
 		t.Errorf("dated %v, and %v later %v", first, r.now-first, got)
 	}
 	again.StartedAt += time.Second
 	r.deliverList(ListChanges, again)
-	if got := r.b.servers[1].upSince; got != r.now {
+	if got := r.b.servers[1].processStart; got != r.now {
 		t.Errorf("a further start is dated %v, want %v", got, r.now)
 	}
 }
--- a/policy/discovery_faults_test.go
+++ b/policy/discovery_faults_test.go
@@ -306,7 +306,7 @@
 		if fault.unusableShare > 0 {
 			begun -= maxBursts * callsPerBurst // which come once
 		}
-		work := time.Duration(begun*nodes) * knownCall
+		work := time.Duration(begun*nodes) * changesCallDuration
 		if outage := fault.to - fault.from - settled; work > outage {
 			t.Errorf("%s: calls take %v of work in an outage of %v", fault.name, work, outage)
 		}
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -131,8 +131,8 @@
 		}
 		b.releaseHeld(now, origin, since, entries)
 	}
-	if reselect || b.drifted() {
-		b.choose(now)
+	if reselect || b.needsSubsetResize() {
+		b.chooseSubset(now)
 	}
 }
 
@@ -150,7 +150,7 @@
 		}
 	}
 	b.serverList.Clear()
-	b.serverList.inServiceCount, b.feeders = 0, 0 // none is worked with before all are known
+	b.serverList.inServiceCount, b.nodesPerServer = 0, 0 // none is worked with before all are known
 	for _, s := range b.servers {
 		s.State = StateGone
 	}
@@ -183,21 +183,21 @@
 	}
 	listed := listedServer{
 		sourcedEntry: entry, position: permutation.Position(orderKey, uint32(b.settings.NodeIndex), uint32(b.settings.NodeCount)),
-		processStart: b.upSince(now, kind, e),
+		processStart: b.estimateProcessStart(now, kind, e),
 	}
 	b.serverList.update(listed)
 	s := b.servers[e.Server]
 	if s != nil {
 		if e.StartedAt != s.StartedAt {
-			*s = server{rounding: s.rounding, openFor: openFirst, inFlight: s.inFlight, working: s.working}
+			*s = server{roundingOffset: s.roundingOffset, openDuration: initialOpenDuration, inFlight: s.inFlight, inSubset: s.inSubset}
 		}
-		s.Entry, s.upSince, s.inOwnZone = e, listed.processStart, e.Zone == b.settings.Zone
+		s.Entry, s.processStart, s.inOwnZone = e, listed.processStart, e.Zone == b.settings.Zone
 	}
 	switch {
-	case s != nil && s.working:
+	case s != nil && s.inSubset:
 		return e.State != StateInService
-	case e.State == StateInService && int(listed.position) < b.feeders:
-		b.workWith(listed)
+	case e.State == StateInService && int(listed.position) < b.nodesPerServer:
+		b.addToSubset(listed)
 	}
 	return false
 }
--- a/policy/pick.go
+++ b/policy/pick.go
@@ -28,7 +28,7 @@
 			return false
 		}
 	}
-	return b.coldBudget(s, now, b.unloadedLatencySeconds(r))
+	return b.coldBudgetCovers(s, now, b.unloadedLatencySeconds(r))
 }
 
 // pick chooses a server for the next attempt, or nil: a half-open server that awaits its trial, else the
@@ -48,20 +48,20 @@
 		if s.breaker == open || r.hasTried(s) || !b.maySend(now, r, s) {
 			continue
 		}
-		if s.breaker == closed && b.room(s, now) {
+		if s.breaker == closed && b.isBelowLimit(s, now) {
 			b.candidates = append(b.candidates, s)
 		} else if s.breaker == halfOpen && s.trial == nil && (r.class.Idempotency != NonIdempotent || b.allNonIdempotent) {
 			return s
 		}
 	}
 	n := len(b.candidates)
-	if n == 0 || !b.thin() && inFlight >= max(1, int(b.perFeeder(b.limit)*float64(closedServers))) {
+	if n == 0 || !b.nodesOutnumberServers() && inFlight >= max(1, int(b.perSubsetServer(b.concurrencyLimit)*float64(closedServers))) {
 		return nil
 	}
-	if (len(r.attempts) == 0 || b.thin()) && n > 2 {
+	if (len(r.attempts) == 0 || b.nodesOutnumberServers()) && n > 2 {
 		i := b.rng.IntN(n)
 		j := (i + 1 + b.rng.IntN(n-1)) % n
-		if b.thin() {
+		if b.nodesOutnumberServers() {
 			i = b.drawByWeight(-1)
 			j = b.drawByWeight(i)
 		}
@@ -100,9 +100,9 @@
 		}
 		weight := s.Weight
 		if weight <= 0 {
-			weight = max(b.weight, 1)
+			weight = max(b.meanWeight, 1)
 		}
-		weight *= b.coldShare(s.upSince, b.scoresUpdatedAt)
+		weight *= b.capacityShare(s.processStart, b.scoresUpdatedAt)
 		if total += weight; b.rng.Float64()*total <= weight {
 			drawn = i
 		}
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -215,7 +215,7 @@
 	r := newRunner(t, testSettings(), 4)
 	bad := r.b.subset[0]
 	for range failuresToOpen {
-		r.b.failed(r.now, &attempt{server: bad}, false)
+		r.b.recordFailure(r.now, &attempt{server: bad}, false)
 	}
 	if bad.breaker != open {
 		t.Fatalf("breaker %v after %d failures, want open", bad.breaker, failuresToOpen)
@@ -226,7 +226,7 @@
 			t.Fatal("an open server was sent a request before its time")
 		}
 	}
-	r.advance(bad.reopenAt - r.now)
+	r.advance(bad.halfOpenAt - r.now)
 	trial := r.sendRequest(0)
 	if got := r.serversSentTo(trial); len(got) != 1 || got[0] != bad.Server {
 		t.Fatalf("trial went to %v, want the half-open server %d", got, bad.Server)
@@ -234,12 +234,12 @@
 	if other := r.serversSentTo(r.sendRequest(0)); len(other) != 1 || other[0] == bad.Server {
 		t.Fatalf("second request went to %v while the trial is out", other)
 	}
-	before := bad.openFor
+	before := bad.openDuration
 	r.endAttempt(trial, ServerError, 5*ms)
-	if bad.breaker != open || bad.openFor != 2*before {
-		t.Fatalf("after a failed trial: breaker %v for %v, want open for %v", bad.breaker, bad.openFor, 2*before)
+	if bad.breaker != open || bad.openDuration != 2*before {
+		t.Fatalf("after a failed trial: breaker %v for %v, want open for %v", bad.breaker, bad.openDuration, 2*before)
 	}
-	r.advance(bad.reopenAt - r.now)
+	r.advance(bad.halfOpenAt - r.now)
 	trial = r.sendRequest(0)
 	r.endAttempt(trial, OK, 50*ms)
 	if bad.breaker != closed {
@@ -251,16 +251,16 @@
 	r := newRunner(t, testSettings(), 4)
 	s := r.b.subset[0]
 	for range failuresToOpen - 1 {
-		r.b.failed(r.now, &attempt{server: s}, false)
+		r.b.recordFailure(r.now, &attempt{server: s}, false)
 	}
-	s.succeeded(r.now, nil)
-	r.b.failed(r.now, &attempt{server: s}, false)
+	s.recordSuccess(r.now, nil)
+	r.b.recordFailure(r.now, &attempt{server: s}, false)
 	if s.breaker != closed {
 		t.Fatal("failures with a success between them opened the breaker")
 	}
 	for range 2 * failuresToOpen {
-		r.now += failuresFor / 3
-		r.b.failed(r.now, &attempt{server: s}, false)
+		r.now += failureWindow / 3
+		r.b.recordFailure(r.now, &attempt{server: s}, false)
 	}
 	if s.breaker != closed {
 		t.Fatal("failures spread wider than the window opened the breaker")
@@ -272,7 +272,7 @@
 	r := newRunner(t, testSettings(), 6)
 	for _, s := range r.b.subset {
 		for range 2 * failuresToOpen {
-			r.b.failed(r.now, &attempt{server: s}, true)
+			r.b.recordFailure(r.now, &attempt{server: s}, true)
 		}
 	}
 	if got := r.breakerCounts(); got[open] != 3 {
@@ -284,7 +284,7 @@
 	r := newRunner(t, testSettings(), 3)
 	for _, s := range r.b.subset {
 		for range failuresToOpen {
-			r.b.failed(r.now, &attempt{server: s}, false)
+			r.b.recordFailure(r.now, &attempt{server: s}, false)
 		}
 	}
 	id := r.sendRequest(2)
@@ -292,7 +292,7 @@
 	if !ok || after <= 0 || after > time.Second {
 		t.Fatalf("refused %v with retry-after %v, want at once and within the limit", ok, after)
 	}
-	r.advance(2 * openFirst)
+	r.advance(2 * initialOpenDuration)
 	trial, second := r.sendRequest(0), r.sendRequest(0)
 	if len(r.serversSentTo(trial)) != 1 {
 		t.Fatal("half-open servers must still take their trial")
@@ -549,14 +549,14 @@
 						break
 					}
 					r.b.send(r.now, req, s)
-					work += r.b.classes[0].lone.Value
+					work += r.b.classes[0].meanUnloadedLatencySeconds.Value
 					sends++
 				}
 			}
 			burst()
 			r.now += r.b.settings.Rules.OverloadDuration
 			burst()
-			if limit := warmServerWork * 3 * 0.3; work > limit+r.b.classes[0].lone.Value {
+			if limit := warmServerWork * 3 * 0.3; work > limit+r.b.classes[0].meanUnloadedLatencySeconds.Value {
 				t.Errorf("the cold server was sent %.3f s of work within a window, more than %.3f", work, limit)
 			}
 			if sends == 0 {
--- a/policy/request.go
+++ b/policy/request.go
@@ -8,14 +8,14 @@
 )
 
 type attempt struct {
-	server       *server
-	request      *request
-	zone, cell   int
-	sentAt       time.Duration
-	inFlight     bool
-	neverRan     bool
-	lone         bool // no other attempt of ours was out at the server
-	unresponsive bool // counted as a failure for its silence
+	server           *server
+	request          *request
+	zone, cell       int
+	sentAt           time.Duration
+	inFlight         bool
+	neverRan         bool
+	atUnloadedServer bool // no other attempt of ours was out at the server
+	unresponsive     bool // counted as a failure for its silence
 }
 
 type request struct {
@@ -36,11 +36,11 @@
 
 type class struct {
 	Class
-	patience     float64    // seconds: the aim, longer where late answers are worth more than such work costs
-	lone         stats.Mean // latency of a lone request of mean size, seconds
-	yardstick    float64    // that, once it had settled
-	meanWork     stats.Mean // latency of all its served requests; 1 where worth counts by work
-	meanWorkHint stats.Mean // seconds
+	fullLoadLatencySeconds     float64    // seconds: the aim, longer where late answers are worth more than such work costs
+	meanUnloadedLatencySeconds stats.Mean // latency of a lone request of mean size, seconds
+	referenceLatencySeconds    float64    // that, once it had settled
+	meanWork                   stats.Mean // latency of all its served requests; 1 where worth counts by work
+	meanWorkHint               stats.Mean // seconds
 }
 
 // Request takes a client's request.
@@ -69,7 +69,7 @@
 	switch {
 	case b.settings.ConfirmCachedList && !b.serving:
 		b.refuseOrFail(now, r, NotReady)
-	case b.thin() && !b.admit(now, overQuota):
+	case b.nodesOutnumberServers() && !b.admit(now, overQuota):
 		b.refuseOrFail(now, r, Overload)
 	default:
 		b.enqueue(r)
@@ -160,19 +160,19 @@
 	writeBy := r.dedupWindowEnd()
 	r.attempts = append(r.attempts, attempt{
 		server: s, request: r, zone: s.Zone, cell: s.Cell, sentAt: now, inFlight: true,
-		lone: len(s.inFlight) == 0 && b.out*b.settings.NodeCount <= 3*b.serverList.inServiceCount,
+		atUnloadedServer: len(s.inFlight) == 0 && b.inFlight*b.settings.NodeCount <= 3*b.serverList.inServiceCount,
 	})
 	a := &r.attempts[len(r.attempts)-1]
 	s.inFlight = append(s.inFlight, a)
 	r.inFlight++
-	b.out++
-	b.sends++
+	b.inFlight++
+	b.attemptsSinceResize++
 	if s.breaker == halfOpen {
 		s.trial = a
 	}
 	work := b.unloadedLatencySeconds(r)
-	s.rate.Add(now, work)
-	s.coldSaved -= work
+	s.sentWork.Add(now, work)
+	s.coldBudgetSeconds -= work
 	if writeBy != r.writeDeadline {
 		r.writeDeadline = writeBy
 		b.host.SetWriteDeadline(r.ID, writeBy)
@@ -188,7 +188,7 @@
 	}
 	b.removeInFlight(r, a)
 	a.neverRan = o.Status == Rejected || o.Status == ConnectFailed || o.Status == NotSent
-	b.judge(now, r, a, o)
+	b.recordOutcome(now, r, a, o)
 	if o.RequestDone || o.Status == OK {
 		b.finishRequest(r)
 	} else if !r.done && r.inFlight == 0 {
@@ -213,7 +213,7 @@
 func (b *Balancer) removeInFlight(r *request, a *attempt) {
 	a.inFlight = false
 	r.inFlight--
-	b.out--
+	b.inFlight--
 	if i := slices.Index(a.server.inFlight, a); i >= 0 {
 		a.server.inFlight = slices.Delete(a.server.inFlight, i, i+1)
 	}
@@ -268,7 +268,7 @@
 		return
 	}
 	r.streaming = true
-	a.server.succeeded(now, a)
+	a.server.recordSuccess(now, a)
 	b.cancelAttempts(r, a)
 }
 
@@ -282,7 +282,7 @@
 
 // loneLatency is what the request should take on a server of its own, in seconds.
 func (b *Balancer) unloadedLatencySeconds(r *request) float64 {
-	return r.class.lone.Value*r.relativeWork() + 0.001
+	return r.class.meanUnloadedLatencySeconds.Value*r.relativeWork() + 0.001
 }
 
 // expected is what the request should take at present.
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -21,10 +21,10 @@
 		return s.breaker != open && !r.hasTried(s) && b.maySend(now, r, s)
 	})
 	switch {
-	case !possible || now+delay+b.expectedLatency(r) > r.lateValueUntil || b.thin() && b.hedgeTokens < 1:
+	case !possible || now+delay+b.expectedLatency(r) > r.lateValueUntil || b.nodesOutnumberServers() && b.hedgeTokens < 1:
 		b.refuseOrFail(now, r, NoRetry)
 		return
-	case b.thin(): // hundreds of nodes that try three times more where all is full are a storm
+	case b.nodesOutnumberServers(): // hundreds of nodes that try three times more where all is full are a storm
 		b.hedgeTokens--
 	}
 	r.retryAt = now + delay
@@ -46,7 +46,7 @@
 	wait := min(r.class.LatencyTarget/2, b.settings.Limits.MaxRetryAfter)
 	for _, s := range b.subset {
 		if s.breaker == open {
-			wait = min(wait, max(0, s.reopenAt-now))
+			wait = min(wait, max(0, s.halfOpenAt-now))
 		}
 	}
 	return wait
@@ -82,7 +82,7 @@
 		age := float64(now - a.sentAt)
 		if a.inFlight && !a.unresponsive && age > unresponsiveMultiple*float64(expected) && a.server.lastAnswerAt < a.sentAt {
 			a.unresponsive = true
-			b.failed(now, a, true)
+			b.recordFailure(now, a, true)
 		}
 	}
 	last := &r.attempts[len(r.attempts)-1]
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -35,16 +35,16 @@
 const baseServers = 3200
 
 const (
-	arrivalGap    = time.Second * targetNodes / targetRequestsPerSecond // between requests at a node
-	serverLatency = 20 * time.Millisecond
-	warmUp        = 1500 // requests before anything is measured: a node sizes its subset by 10 s of them
+	arrivalGap     = time.Second * targetNodes / targetRequestsPerSecond // between requests at a node
+	serverLatency  = 20 * time.Millisecond
+	warmUpRequests = 1500 // requests before anything is measured: a node sizes its subset by 10 s of them
 )
 
 // benchmarkSizes are numbers of servers.
-var benchmarkSizes = []int{200, 1000, 3200, 5000, 20_000, targetServers}
+var benchmarkServerCounts = []int{200, 1000, 3200, 5000, 20_000, targetServers}
 
 // nodesBefore is the size of a fleet with the target's ratio of nodes to servers.
-func nodesBefore(servers int) int {
+func nodesForServers(servers int) int {
 	return max(1, servers*targetNodes/targetServers)
 }
 
@@ -69,7 +69,7 @@
 }
 
 // attemptOut is an attempt that a server is working on.
-type attemptOut struct {
+type inFlightAttempt struct {
 	id      policy.RequestID
 	attempt int
 	server  policy.ServerID
@@ -79,23 +79,23 @@
 // scaleNode is one node's policy on a driven clock, before servers that answer each attempt
 // after serverLatency. It implements policy.Host.
 type scaleNode struct {
-	balancer *policy.Balancer
-	now      time.Duration
-	lastID   policy.RequestID
-	timers   timerQueue
-	out      []attemptOut // oldest first
-	attempts map[policy.RequestID]int
-	met      map[policy.ServerID]int // attempts sent to each server
-	refused  int
+	balancer         *policy.Balancer
+	now              time.Duration
+	lastID           policy.RequestID
+	timers           timerQueue
+	inFlight         []inFlightAttempt // oldest first
+	attempts         map[policy.RequestID]int
+	attemptsByServer map[policy.ServerID]int // attempts sent to each server
+	refused          int
 }
 
 // newScaleNode makes the policy of one node; it knows no server yet.
 func newScaleNode(tb testing.TB, settings policy.Settings) *scaleNode {
 	tb.Helper()
 	node := &scaleNode{
-		now:      time.Hour,
-		attempts: map[policy.RequestID]int{},
-		met:      map[policy.ServerID]int{},
+		now:              time.Hour,
+		attempts:         map[policy.RequestID]int{},
+		attemptsByServer: map[policy.ServerID]int{},
 	}
 	balancer, err := policy.New(settings, 1, node)
 	if err != nil {
@@ -114,10 +114,10 @@
 }
 
 // startScaleNode gives a node that knows the servers and has served some requests.
-func startScaleNode(tb testing.TB, nodes, servers int) *scaleNode {
+func warmedUpScaleNode(tb testing.TB, nodes, servers int) *scaleNode {
 	tb.Helper()
 	node := listedScaleNode(tb, nodes, servers)
-	node.serve(warmUp)
+	node.serve(warmUpRequests)
 	return node
 }
 
@@ -177,8 +177,8 @@
 		if len(n.timers) > 0 {
 			timer = n.timers[0].at
 		}
-		if len(n.out) > 0 {
-			answer = n.out[0].sent + serverLatency
+		if len(n.inFlight) > 0 {
+			answer = n.inFlight[0].sent + serverLatency
 		}
 		if min(timer, answer) > end {
 			n.now = end
@@ -196,8 +196,8 @@
 
 // answer delivers the outcome of the oldest attempt.
 func (n *scaleNode) answer() {
-	oldest := n.out[0]
-	n.out = slices.Delete(n.out, 0, 1)
+	oldest := n.inFlight[0]
+	n.inFlight = slices.Delete(n.inFlight, 0, 1)
 	delete(n.attempts, oldest.id)
 	n.balancer.AttemptEnded(n.now, policy.Outcome{
 		ID: oldest.id, Attempt: oldest.attempt, Server: oldest.server,
@@ -207,9 +207,9 @@
 
 // Send implements policy.Host.
 func (n *scaleNode) Send(id policy.RequestID, server policy.ServerID, _ time.Duration) {
-	n.out = append(n.out, attemptOut{id, n.attempts[id], server, n.now})
+	n.inFlight = append(n.inFlight, inFlightAttempt{id, n.attempts[id], server, n.now})
 	n.attempts[id]++
-	n.met[server]++
+	n.attemptsByServer[server]++
 }
 
 // SetTimer implements policy.Host.
@@ -242,14 +242,14 @@
 func (n *scaleNode) MarkReady() {}
 
 // changeOneLine tells of one server that drains, or is ready again.
-func (n *scaleNode) changeOneLine(index int, state policy.ServerState) {
+func (n *scaleNode) changeOneEntry(index int, state policy.ServerState) {
 	entry := scaleServer(index)
 	entry.State = state
 	n.balancer.ListUpdated(n.now, policy.ListChanges, []policy.Entry{entry})
 }
 
 // heapBytes is what is on the heap once garbage is collected.
-func heapBytes() float64 {
+func liveHeapBytes() float64 {
 	runtime.GC()
 	runtime.GC() // a second time, for what the first has only marked to be freed
 	var stats runtime.MemStats
@@ -258,16 +258,16 @@
 }
 
 // heapOf is how much of the heap is held by what build gives.
-func heapOf[T any](build func() T) float64 {
-	before := heapBytes()
+func heapBytesOf[T any](build func() T) float64 {
+	before := liveHeapBytes()
 	held := build()
-	after := heapBytes()
+	after := liveHeapBytes()
 	runtime.KeepAlive(held)
 	return after - before
 }
 
 // allocated is how many bytes do allocates, freed ones included.
-func allocated(do func()) float64 {
+func allocatedBytes(do func()) float64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	do()
@@ -277,7 +277,7 @@
 
 // threadTime is the processor time that this thread has used, which does not count the
 // time for which others held the processor. The caller has to lock the thread.
-func threadTime() time.Duration {
+func threadCPUTime() time.Duration {
 	var used unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &used); err != nil {
 		panic(err)
@@ -296,11 +296,11 @@
 	ratios := make([]float64, costRounds)
 	for i := range ratios {
 		runtime.GC() // what others have left behind is not collected on this thread's time
-		start := threadTime()
+		start := threadCPUTime()
 		small()
-		middle := threadTime()
+		middle := threadCPUTime()
 		large()
-		ratios[i] = float64(threadTime()-middle) / float64(max(middle-start, time.Microsecond))
+		ratios[i] = float64(threadCPUTime()-middle) / float64(max(middle-start, time.Microsecond))
 	}
 	return median(ratios)
 }
@@ -312,42 +312,42 @@
 
 // ---- benchmarks: the slopes
 
-func eachSize(b *testing.B, run func(b *testing.B, servers int)) {
-	for _, servers := range benchmarkSizes {
+func runForEachServerCount(b *testing.B, run func(b *testing.B, servers int)) {
+	for _, servers := range benchmarkServerCounts {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) { run(b, servers) })
 	}
 }
 
 // requestsEach is the number of requests in one iteration of a benchmark.
-const requestsEach = 20
+const requestsPerIteration = 20
 
 func reportRequests(b *testing.B) {
-	each := float64(b.Elapsed().Nanoseconds()) / float64(b.N) / requestsEach
-	b.ReportMetric(each, "ns/request")
-	b.ReportMetric(100*each*targetRequestsPerSecond/targetNodes/1e9, "%core")
+	nanosecondsPerRequest := float64(b.Elapsed().Nanoseconds()) / float64(b.N) / requestsPerIteration
+	b.ReportMetric(nanosecondsPerRequest, "ns/request")
+	b.ReportMetric(100*nanosecondsPerRequest*targetRequestsPerSecond/targetNodes/1e9, "%core")
 }
 
 // BenchmarkScaleRequest is a request with its outcome and the timers that fall due, in a fleet
 // with the target's ratio of nodes to servers. %core is the part of a core that this
 // takes at the target's rate of requests.
 func BenchmarkScaleRequest(b *testing.B) {
-	eachSize(b, func(b *testing.B, servers int) {
-		node := startScaleNode(b, nodesBefore(servers), servers)
+	runForEachServerCount(b, func(b *testing.B, servers int) {
+		node := warmedUpScaleNode(b, nodesForServers(servers), servers)
 		for b.Loop() {
-			node.serve(requestsEach)
+			node.serve(requestsPerIteration)
 		}
 		reportRequests(b)
-		b.ReportMetric(float64(len(node.met)), "servers-met")
+		b.ReportMetric(float64(len(node.attemptsByServer)), "servers-met")
 	})
 }
 
 // BenchmarkScaleRequestTargetNodes is the same in a fleet that has the target's number of nodes
 // at each size; nodes that outnumber their servers shed and pick by other rules.
 func BenchmarkScaleRequestTargetNodes(b *testing.B) {
-	eachSize(b, func(b *testing.B, servers int) {
-		node := startScaleNode(b, targetNodes, servers)
+	runForEachServerCount(b, func(b *testing.B, servers int) {
+		node := warmedUpScaleNode(b, targetNodes, servers)
 		for b.Loop() {
-			node.serve(requestsEach)
+			node.serve(requestsPerIteration)
 		}
 		reportRequests(b)
 	})
@@ -355,36 +355,36 @@
 
 // BenchmarkScaleChange is a change of the list by one line.
 func BenchmarkScaleChange(b *testing.B) {
-	eachSize(b, func(b *testing.B, servers int) {
-		node := startScaleNode(b, nodesBefore(servers), servers)
+	runForEachServerCount(b, func(b *testing.B, servers int) {
+		node := warmedUpScaleNode(b, nodesForServers(servers), servers)
 		b.ReportAllocs()
 		for i := 0; b.Loop(); i++ {
 			index := i / 2 * 7919 % servers
-			node.changeOneLine(index, []policy.ServerState{policy.StateDraining, policy.StateInService}[i%2])
+			node.changeOneEntry(index, []policy.ServerState{policy.StateDraining, policy.StateInService}[i%2])
 		}
 	})
 }
 
 // BenchmarkScaleSubsetChange is the same for servers that the node has met, which change its subset.
 func BenchmarkScaleSubsetChange(b *testing.B) {
-	eachSize(b, func(b *testing.B, servers int) {
-		node := startScaleNode(b, nodesBefore(servers), servers)
+	runForEachServerCount(b, func(b *testing.B, servers int) {
+		node := warmedUpScaleNode(b, nodesForServers(servers), servers)
 		var met []int
 		for index := range servers {
-			if node.met[scaleServer(index).Server] > 0 {
+			if node.attemptsByServer[scaleServer(index).Server] > 0 {
 				met = append(met, index)
 			}
 		}
 		for i := 0; b.Loop(); i++ {
-			node.changeOneLine(met[i/2%len(met)], []policy.ServerState{policy.StateDraining, policy.StateInService}[i%2])
+			node.changeOneEntry(met[i/2%len(met)], []policy.ServerState{policy.StateDraining, policy.StateInService}[i%2])
 		}
 	})
 }
 
 // BenchmarkScaleWholeList is a whole list that changes nothing.
 func BenchmarkScaleWholeList(b *testing.B) {
-	eachSize(b, func(b *testing.B, servers int) {
-		node := startScaleNode(b, nodesBefore(servers), servers)
+	runForEachServerCount(b, func(b *testing.B, servers int) {
+		node := warmedUpScaleNode(b, nodesForServers(servers), servers)
 		entries := scaleServers(servers)
 		b.ReportAllocs()
 		for b.Loop() {
@@ -396,8 +396,8 @@
 // BenchmarkScaleStart is a new node that gets its first list; it reports the memory that the
 // node then holds. The lines of the list itself are not counted.
 func BenchmarkScaleStart(b *testing.B) {
-	eachSize(b, func(b *testing.B, servers int) {
-		settings, entries := scaleSettings(nodesBefore(servers), 0), scaleServers(servers)
+	runForEachServerCount(b, func(b *testing.B, servers int) {
+		settings, entries := scaleSettings(nodesForServers(servers), 0), scaleServers(servers)
 		start := func() *scaleNode {
 			node := newScaleNode(b, settings)
 			node.balancer.ListUpdated(node.now, policy.ListWhole, entries)
@@ -406,7 +406,7 @@
 		for b.Loop() {
 			start()
 		}
-		held := heapOf(start)
+		held := heapBytesOf(start)
 		runtime.KeepAlive(entries) // else they are freed meanwhile and taken off what the node holds
 		b.ReportMetric(held/float64(servers), "heap-B/server")
 		b.ReportMetric(held/(1<<20), "heap-MiB")
@@ -414,21 +414,21 @@
 }
 
 // tenantSizes are numbers of tenants.
-var tenantSizes = []int{1000, 10_000, 40_000, targetTenants}
+var benchmarkTenantCounts = []int{1000, 10_000, 40_000, targetTenants}
 
 // BenchmarkScaleTenants is a request before 200 servers; each request is another tenant's.
 func BenchmarkScaleTenants(b *testing.B) {
 	const servers = 200
-	for _, tenants := range tenantSizes {
+	for _, tenants := range benchmarkTenantCounts {
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
-			settings := scaleSettings(nodesBefore(servers), tenants)
-			settingsOf := heapOf(func() []policy.Tenant { return slices.Clone(settings.Tenants) })
-			held := heapOf(func() *scaleNode { return newScaleNode(b, settings) })
+			settings := scaleSettings(nodesForServers(servers), tenants)
+			settingsOf := heapBytesOf(func() []policy.Tenant { return slices.Clone(settings.Tenants) })
+			held := heapBytesOf(func() *scaleNode { return newScaleNode(b, settings) })
 			node := newScaleNode(b, settings)
 			node.balancer.ListUpdated(node.now, policy.ListWhole, scaleServers(servers))
-			node.serve(warmUp)
-			for first := 0; b.Loop(); first = (first + requestsEach) % (tenants - requestsEach) {
-				node.serveTenant(requestsEach, first)
+			node.serve(warmUpRequests)
+			for first := 0; b.Loop(); first = (first + requestsPerIteration) % (tenants - requestsPerIteration) {
+				node.serveTenant(requestsPerIteration, first)
 			}
 			reportRequests(b)
 			b.ReportMetric((held+settingsOf)/float64(tenants), "heap-B/tenant")
@@ -443,12 +443,12 @@
 func TestScaleChangeAllocatesTheSameAtEachSize(t *testing.T) {
 	const changes = 32
 	perChange := func(servers int) float64 {
-		node := listedScaleNode(t, nodesBefore(servers), servers)
-		node.changeOneLine(0, policy.StateDraining)
-		node.changeOneLine(0, policy.StateInService)
-		return allocated(func() {
+		node := listedScaleNode(t, nodesForServers(servers), servers)
+		node.changeOneEntry(0, policy.StateDraining)
+		node.changeOneEntry(0, policy.StateInService)
+		return allocatedBytes(func() {
 			for i := range changes {
-				node.changeOneLine(i/2, []policy.ServerState{policy.StateDraining, policy.StateInService}[i%2])
+				node.changeOneEntry(i/2, []policy.ServerState{policy.StateDraining, policy.StateInService}[i%2])
 			}
 		}) / changes
 	}
@@ -463,8 +463,8 @@
 func TestScaleRequestAllocatesTheSameAtEachSize(t *testing.T) {
 	const requests = 64
 	perRequest := func(servers int) float64 {
-		node := startScaleNode(t, nodesBefore(servers), servers)
-		return allocated(func() { node.serve(requests) }) / requests
+		node := warmedUpScaleNode(t, nodesForServers(servers), servers)
+		return allocatedBytes(func() { node.serve(requests) }) / requests
 	}
 	if small, large := perRequest(200), perRequest(baseServers); large > 2*small+4096 {
 		t.Errorf("a request allocates %.0f B before 200 servers, %.0f B before %d", small, large, baseServers)
@@ -474,33 +474,33 @@
 // A whole list that changes nothing must not make a node build its servers anew.
 func TestScaleWholeListAllocatesLessThanTheFirst(t *testing.T) {
 	entries := scaleServers(baseServers)
-	node := newScaleNode(t, scaleSettings(nodesBefore(baseServers), 0))
-	first := allocated(func() { node.balancer.ListUpdated(node.now, policy.ListWhole, entries) })
-	again := allocated(func() { node.balancer.ListUpdated(node.now, policy.ListWhole, entries) })
+	node := newScaleNode(t, scaleSettings(nodesForServers(baseServers), 0))
+	first := allocatedBytes(func() { node.balancer.ListUpdated(node.now, policy.ListWhole, entries) })
+	again := allocatedBytes(func() { node.balancer.ListUpdated(node.now, policy.ListWhole, entries) })
 	if again > first/4 {
 		t.Errorf("the first list allocates %.0f B, the same one again %.0f B", first, again)
 	}
 }
 
 // The memory for a server may fall with the size of the list, but not grow.
-func TestScaleMemoryForAServerDoesNotGrow(t *testing.T) {
-	small, large := memoryForAServer(t, baseServers), memoryForAServer(t, targetServers)
+func TestScaleMemoryPerServerDoesNotGrow(t *testing.T) {
+	small, large := heapBytesPerServer(t, baseServers), heapBytesPerServer(t, targetServers)
 	if large > 1.25*small {
 		t.Errorf("a server takes %.0f B of %d, %.0f B of %d", small, baseServers, large, targetServers)
 	}
 }
 
 // memoryForAServer is what a node holds for each server of a list, the list's lines left out.
-func memoryForAServer(t *testing.T, servers int) float64 {
+func heapBytesPerServer(t *testing.T, servers int) float64 {
 	t.Helper()
-	return memoryOfAList(t, servers) / float64(servers)
+	return heapBytesForList(t, servers) / float64(servers)
 }
 
-func memoryOfAList(t *testing.T, servers int) float64 {
+func heapBytesForList(t *testing.T, servers int) float64 {
 	t.Helper()
 	entries := scaleServers(servers)
-	settings := scaleSettings(nodesBefore(servers), 0)
-	held := heapOf(func() *scaleNode {
+	settings := scaleSettings(nodesForServers(servers), 0)
+	held := heapBytesOf(func() *scaleNode {
 		node := newScaleNode(t, settings)
 		node.balancer.ListUpdated(node.now, policy.ListWhole, entries)
 		return node
@@ -511,10 +511,10 @@
 
 // Tenants are a slice: a request's cost does not depend on how many there are, and memory is a
 // straight line well inside the budget.
-func TestScaleTenantsAreCheapToHold(t *testing.T) {
+func TestScaleTenantsNeedLittleMemory(t *testing.T) {
 	memory := func(tenants int) float64 {
 		settings := scaleSettings(targetNodes, tenants)
-		held := heapOf(func() *scaleNode { return newScaleNode(t, settings) })
+		held := heapBytesOf(func() *scaleNode { return newScaleNode(t, settings) })
 		runtime.KeepAlive(settings)
 		return held
 	}
@@ -527,12 +527,12 @@
 	}
 }
 
-func TestScaleRequestCostDoesNotFollowTheTenants(t *testing.T) {
+func TestScaleRequestCostDoesNotGrowWithTenants(t *testing.T) {
 	serve := func(tenants int) func() {
-		settings := scaleSettings(nodesBefore(200), tenants)
+		settings := scaleSettings(nodesForServers(200), tenants)
 		node := newScaleNode(t, settings)
 		node.balancer.ListUpdated(node.now, policy.ListWhole, scaleServers(200))
-		node.serve(warmUp)
+		node.serve(warmUpRequests)
 		first := 0
 		return func() {
 			node.serveTenant(200, first)
@@ -546,11 +546,11 @@
 
 // A list change walks the list: twice the size may cost more than twice as much where the
 // processor's caches end, but the cost must not go with the square of the size.
-func TestScaleWholeListIsNoWorseThanALine(t *testing.T) {
+func TestScaleWholeListCostIsNotQuadratic(t *testing.T) {
 	const times = 8
 	list := func(servers, repeats int) func() {
 		entries := scaleServers(servers)
-		node := listedScaleNode(t, nodesBefore(servers), servers)
+		node := listedScaleNode(t, nodesForServers(servers), servers)
 		return func() {
 			for range repeats {
 				node.balancer.ListUpdated(node.now, policy.ListWhole, entries)
--- a/policy/score.go
+++ b/policy/score.go
@@ -15,14 +15,14 @@
 
 type server struct {
 	Entry
-	upSince   time.Duration // by this node's clock; 0: for long
-	breaker   BreakerState
-	inOwnZone bool            // in this node's zone
-	working   bool            // in the subset
-	failures  []time.Duration // consecutive failures within the window
-	openFor   time.Duration
-	reopenAt  time.Duration // when open: turns half-open
-	trial     *attempt      // when half-open: the one trial that is out
+	processStart time.Duration // by this node's clock; 0: for long
+	breaker      BreakerState
+	inOwnZone    bool            // in this node's zone
+	inSubset     bool            // in the subset
+	failureTimes []time.Duration // consecutive failures within the window
+	openDuration time.Duration
+	halfOpenAt   time.Duration // when open: turns half-open
+	trial        *attempt      // when half-open: the one trial that is out
 
 	outcomes     stats.Window // latencies as multiples of what a lone request of the class takes
 	lastAnswerAt time.Duration
@@ -30,26 +30,26 @@
 	successRate  float64
 	latencyRatio float64
 
-	inFlight  []*attempt    // own attempts in flight, oldest first
-	rounding  float64       // in [0,1): see bound
-	lone      stats.Mean    // latency, as a logarithm, of attempts sent while no other was out
-	fullUntil time.Duration // it turned a request away as full
+	inFlight         []*attempt    // own attempts in flight, oldest first
+	roundingOffset   float64       // in [0,1): see bound
+	unloadedLogRatio stats.Mean    // latency, as a logarithm, of attempts sent while no other was out
+	rejectingUntil   time.Duration // it turned a request away as full
 
-	rate      stats.Meter // work sent to it
-	coldSaved float64     // work that it may be sent while it is cold, as of coldAt
-	coldAt    time.Duration
+	sentWork          stats.Meter // work sent to it
+	coldBudgetSeconds float64     // work that it may be sent while it is cold, as of coldAt
+	coldBudgetAt      time.Duration
 }
 
 // tally drops outcomes that are too old and sums up the rest over the fleet.
 func (b *Balancer) updateSubsetMeans(now time.Duration) {
 	outcomes, successes, latencySum := 0, 0, 0.0
-	b.warm, b.warmRate, b.weight = 0, 0, 0
+	b.warmServers, b.warmWorkPerSecond, b.meanWeight = 0, 0, 0
 	for _, s := range b.subset {
 		s.outcomes.Expire(now - outcomeWindow)
-		b.weight += s.Weight / float64(len(b.subset))
-		if s.breaker == closed && b.coldShare(s.upSince, now) >= 1 {
-			b.warm++
-			b.warmRate += s.rate.PerSecond(now)
+		b.meanWeight += s.Weight / float64(len(b.subset))
+		if s.breaker == closed && b.capacityShare(s.processStart, now) >= 1 {
+			b.warmServers++
+			b.warmWorkPerSecond += s.sentWork.PerSecond(now)
 		}
 		outcomes += s.outcomes.Count
 		successes += s.outcomes.Successes
@@ -70,10 +70,10 @@
 		return
 	}
 	b.scoresUpdatedAt = now
-	b.countSends(now)
-	if b.feeders < min(subsetWidened*b.base, b.settings.NodeCount) {
-		if _, capacity := b.inUse(now); capacity < subsetFailing*b.wanted {
-			b.choose(now)
+	b.resizeSubsetByLoad(now)
+	if b.nodesPerServer < min(maxSubsetWidening*b.baseNodesPerServer, b.settings.NodeCount) {
+		if _, capacity := b.closedServers(now); capacity < minUsableSubsetShare*b.targetSubsetSize {
+			b.chooseSubset(now)
 		}
 	}
 	b.updateSubsetMeans(now)
@@ -88,7 +88,7 @@
 			age := (now - oldest.sentAt).Seconds() / b.unloadedLatencySeconds(oldest.request)
 			s.latencyRatio = max(s.latencyRatio, age)
 		}
-		if s.breaker == open && now >= s.reopenAt {
+		if s.breaker == open && now >= s.halfOpenAt {
 			s.breaker, s.trial = halfOpen, nil
 			b.reportBreakerChange(s, open)
 		}
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -35,10 +35,10 @@
 	}
 	b := &Balancer{
 		settings: settings, host: host, rng: rand.New(rand.NewPCG(seed, 0)),
-		serverList: serverList{Table: table.New(func(line listedServer) ServerID { return line.Server })}, wanted: subsetLeast, base: settings.NodeCount, feeders: settings.NodeCount,
+		serverList: serverList{Table: table.New(func(line listedServer) ServerID { return line.Server })}, targetSubsetSize: minSubsetSize, baseNodesPerServer: settings.NodeCount, nodesPerServer: settings.NodeCount,
 		servers: map[ServerID]*server{}, lastServerByKey: map[uint64]*server{}, requests: map[RequestID]*request{}, tombstones: newTombstones(),
 		meanSuccessRate: 1, meanLatencyRatio: 1, scoresUpdatedAt: -1,
-		admitted: 1, limit: min(1, 3/float64(settings.NodeCount)),
+		admittedShare: 1, concurrencyLimit: min(1, 3/float64(settings.NodeCount)),
 	}
 	if settings.NodeIndex < 0 {
 		b.settings.NodeIndex = rand.New(rand.NewPCG(seed, 1)).IntN(settings.NodeCount) // and the draws below stay as they are
@@ -49,7 +49,7 @@
 			c.LatencyTarget = c.Deadline
 		}
 		b.classes = append(b.classes, class{
-			Class: c, lone: stats.Mean{Value: c.LatencyTarget.Seconds() / 4, Count: 1}, meanWork: stats.Mean{Value: c.LatencyTarget.Seconds() / 4, Count: 1},
+			Class: c, meanUnloadedLatencySeconds: stats.Mean{Value: c.LatencyTarget.Seconds() / 4, Count: 1}, meanWork: stats.Mean{Value: c.LatencyTarget.Seconds() / 4, Count: 1},
 		})
 	}
 	b.allNonIdempotent = !slices.ContainsFunc(settings.Classes, func(c Class) bool { return c.Idempotency != NonIdempotent })
@@ -57,12 +57,12 @@
 		c := &b.classes[i]
 		b.hasZoneDedup = b.hasZoneDedup || c.Idempotency == IdempotentByKey && c.DedupScope == DedupZone
 		b.hasCellDedup = b.hasCellDedup || c.Idempotency == IdempotentByKey && c.DedupScope == DedupCell
-		c.patience = c.LatencyTarget.Seconds() * (1 + max(0, c.LateValueShare-settings.Penalties.WastedWork-settings.Penalties.LateFailure))
+		c.fullLoadLatencySeconds = c.LatencyTarget.Seconds() * (1 + max(0, c.LateValueShare-settings.Penalties.WastedWork-settings.Penalties.LateFailure))
 		if settings.ValueByWork {
 			b.classes[i].meanWork.Value = 1
 		}
 	}
-	b.typical = b.classes[0].lone.Value
+	b.typicalLatencySeconds = b.classes[0].meanUnloadedLatencySeconds.Value
 	for _, t := range settings.Tenants {
 		rate := t.QuotaPerSecond / float64(settings.NodeCount)
 		b.tenantQuotas = append(b.tenantQuotas, stats.Bucket{PerSecond: rate, Tokens: rate})
--- a/policy/thin_test.go
+++ b/policy/thin_test.go
@@ -6,39 +6,39 @@
 )
 
 // newThin is a node of a bank that outnumbers its servers.
-func newThin(t *testing.T) *runner {
-	set := testSettings()
-	set.NodeCount = 100
-	set.Limits.AllowHedging = false
-	return newRunner(t, set, 10)
+func newAdmissionRunner(t *testing.T) *runner {
+	settings := testSettings()
+	settings.NodeCount = 100
+	settings.Limits.AllowHedging = false
+	return newRunner(t, settings, 10)
 }
 
 // Guards servers against the further attempts of a whole fleet: where none is known to be
 // better, the best one was the first in the list, for every node. Seen on zone+mass: three in
 // four of them went to 10 of 179 servers.
-func TestFurtherAttemptsOfAFleetSpread(t *testing.T) {
+func TestRetriesOfAFleetSpreadOverServers(t *testing.T) {
 	const nodes, servers = 100, 20
-	count := map[ServerID]int{}
+	retriesByServer := map[ServerID]int{}
 	for seed := range uint64(nodes) {
-		set := testSettings()
-		set.NodeCount, set.Limits.AllowHedging = nodes, false
-		h := newHost()
-		b, err := New(set, seed, h)
+		settings := testSettings()
+		settings.NodeCount, settings.Limits.AllowHedging = nodes, false
+		host := newHost()
+		b, err := New(settings, seed, host)
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := &runner{t: t, b: b, host: h, now: time.Hour, outcomesGiven: map[RequestID]int{}}
+		r := &runner{t: t, b: b, host: host, now: time.Hour, outcomesGiven: map[RequestID]int{}}
 		r.deliverList(ListCached, inServiceEntries(1, servers)...)
 		r.serveRequests(20, 0, 20*ms)
 		id := r.sendRequest(0)
 		r.endAttempt(id, ServerError, 20*ms)
 		r.advance(300 * ms)
 		if sends := r.serversSentTo(id); len(sends) == 2 {
-			count[sends[1]]++
+			retriesByServer[sends[1]]++
 		}
 	}
 	total, most := 0, 0
-	for _, n := range count {
+	for _, n := range retriesByServer {
 		total += n
 		most = max(most, n)
 	}
@@ -49,8 +49,8 @@
 
 // Guards against a node that holds its requests back because one of them is stuck: the
 // fair bound in flight of a thin node is below one request.
-func TestStuckAttemptDoesNotBlockAThinNode(t *testing.T) {
-	r := newThin(t)
+func TestStuckAttemptDoesNotBlockWhereNodesOutnumberServers(t *testing.T) {
+	r := newAdmissionRunner(t)
 	for range 5 {
 		if id := r.sendRequest(0); len(r.serversSentTo(id)) != 1 {
 			t.Fatalf("request %d is held behind others of this node", id)
@@ -60,9 +60,9 @@
 
 // Guards against a crowd that thin nodes cannot bound in flight: late answers must lower
 // the share that goes out, and timely ones bring all of it back.
-func TestThinNodeShedsWhileAnswersAreLateAndRecovers(t *testing.T) {
-	r := newThin(t)
-	sent := func(latency time.Duration) (n int) {
+func TestAdmissionShedsWhileAnswersAreLateAndRecovers(t *testing.T) {
+	r := newAdmissionRunner(t)
+	countSent := func(latency time.Duration) (n int) {
 		for range 100 {
 			id := r.sendRequest(0)
 			r.advance(50 * ms)
@@ -73,27 +73,27 @@
 		}
 		return n
 	}
-	if n := sent(100 * ms); n != 100 {
+	if n := countSent(100 * ms); n != 100 {
 		t.Fatalf("%d of 100 admitted though answers are quick", n)
 	}
-	if n := sent(time.Second); n > 50 {
+	if n := countSent(time.Second); n > 50 {
 		t.Fatalf("%d of 100 admitted while answers take longer than the aim", n)
 	}
 	for range 3 { // 15 s
-		sent(100 * ms)
+		countSent(100 * ms)
 	}
-	if n := sent(100 * ms); n < 95 {
+	if n := countSent(100 * ms); n < 95 {
 		t.Fatalf("%d of 100 admitted long after answers are quick again", n)
 	}
 }
 
 // Guards against the two controls sharing a clock: the bound of a node that sees enough
 // never grew while the thin node's control moved the time of the last step.
-func TestOutcomesLeaveTheBoundToSteer(t *testing.T) {
+func TestOutcomesDoNotStopTheLimitFromGrowing(t *testing.T) {
 	r := newRunner(t, testSettings(), 2)
-	r.serveRequests(3*loneNeeded, 0, 20*ms)
-	r.b.crowding = 0
-	before := r.b.limit
+	r.serveRequests(3*minUnloadedSamples, 0, 20*ms)
+	r.b.meanLogLatencyRatio = 0
+	before := r.b.concurrencyLimit
 	for range 20 {
 		var ids []RequestID
 		for range 12 { // some wait for room
@@ -106,15 +106,15 @@
 			}
 		}
 	}
-	if r.b.limit <= before {
-		t.Fatalf("bound stays at %.2f though requests wait and servers are not crowded", r.b.limit)
+	if r.b.concurrencyLimit <= before {
+		t.Fatalf("bound stays at %.2f though requests wait and servers are not crowded", r.b.concurrencyLimit)
 	}
 }
 
 // Guards against small servers that are sent as much as large ones by nodes that have too
 // little in flight to see them crowd.
-func TestThinNodeDrawsByWeight(t *testing.T) {
-	r := newThin(t)
+func TestServersAreDrawnByWeightWhereNodesOutnumberThem(t *testing.T) {
+	r := newAdmissionRunner(t)
 	entries := inServiceEntries(1, 10)
 	for i := range 5 {
 		entries[i].Weight = 3
@@ -140,27 +140,27 @@
 // Guards against a breaker that never closes again where no class may be repeated: the
 // trial is then an unsafe request.
 func TestTrialIsUnsafeWhereEveryClassIs(t *testing.T) {
-	set := testSettings()
-	set.Classes = set.Classes[2:]
-	r := newRunner(t, set, 3)
-	bad := r.b.subset[0]
+	settings := testSettings()
+	settings.Classes = settings.Classes[2:]
+	r := newRunner(t, settings, 3)
+	failing := r.b.subset[0]
 	for range failuresToOpen {
-		r.b.failed(r.now, &attempt{server: bad}, false)
+		r.b.recordFailure(r.now, &attempt{server: failing}, false)
 	}
-	r.advance(bad.reopenAt - r.now)
+	r.advance(failing.halfOpenAt - r.now)
 	trial := r.sendRequest(0)
-	if got := r.serversSentTo(trial); len(got) != 1 || got[0] != bad.Server {
-		t.Fatalf("trial went to %v, want the half-open server %d", got, bad.Server)
+	if got := r.serversSentTo(trial); len(got) != 1 || got[0] != failing.Server {
+		t.Fatalf("trial went to %v, want the half-open server %d", got, failing.Server)
 	}
 	r.endAttempt(trial, OK, 20*ms)
-	if bad.breaker != closed {
+	if failing.breaker != closed {
 		t.Fatal("the breaker stays open after a good trial")
 	}
 }
 
 // Guards against a storm of retries by many nodes when all servers turn requests away.
-func TestThinNodeHasARetryBudget(t *testing.T) {
-	r := newThin(t)
+func TestRetryBudgetWhereNodesOutnumberServers(t *testing.T) {
+	r := newAdmissionRunner(t)
 	r.serveRequests(20, 0, 20*ms)
 	before := len(r.host.sends)
 	for range 100 {
@@ -179,7 +179,7 @@
 
 // Guards against single time-outs that cost a node with few answers most of its share.
 func TestOneTimeoutHardlyLowersTheAdmittedShare(t *testing.T) {
-	r := newThin(t)
+	r := newAdmissionRunner(t)
 	for i := range 60 {
 		id := r.sendRequest(0)
 		r.advance(200 * ms)
@@ -194,15 +194,15 @@
 			r.endAttempt(id, OK, 200*ms)
 		}
 	}
-	if r.b.admitted < 0.8 {
-		t.Fatalf("admitted share %.2f with one time-out in 15 answers, the others quick", r.b.admitted)
+	if r.b.admittedShare < 0.8 {
+		t.Fatalf("admitted share %.2f with one time-out in 15 answers, the others quick", r.b.admittedShare)
 	}
 }
 
 // Guards against warm servers crushed by what cold ones could carry, and the other way:
 // the draw follows what a server can do now.
-func TestThinNodeDrawsByColdShare(t *testing.T) {
-	r := newThin(t)
+func TestServersAreDrawnByCapacityShareWhereNodesOutnumberThem(t *testing.T) {
+	r := newAdmissionRunner(t)
 	entries := inServiceEntries(1, 10)
 	for i := range entries {
 		entries[i].Zone = 1
@@ -226,13 +226,13 @@
 
 // Guards against shedding what would be late where late answers still pay, and against
 // letting it through where the site charges for such work as much as it is worth.
-func TestShedsLaterWhereLateAnswersPay(t *testing.T) {
+func TestAdmitsMoreWhereLateAnswersHaveValue(t *testing.T) {
 	admitted := func(prices Penalties) float64 {
-		set := testSettings()
-		set.NodeCount = 100
-		set.Classes[0].LateValueShare = 0.5
-		set.Penalties = prices
-		r := newRunner(t, set, 10)
+		settings := testSettings()
+		settings.NodeCount = 100
+		settings.Classes[0].LateValueShare = 0.5
+		settings.Penalties = prices
+		r := newRunner(t, settings, 10)
 		for range 100 {
 			id := r.sendRequest(0)
 			r.advance(50 * ms)
@@ -240,17 +240,17 @@
 				r.endAttempt(id, OK, 500*ms) // 0.625 of the aim
 			}
 		}
-		return r.b.admitted
+		return r.b.admittedShare
 	}
-	if free, dear := admitted(Penalties{}), admitted(Penalties{WastedWork: 0.3, LateFailure: 0.3}); free < 0.99 || dear > 0.5 {
-		t.Fatalf("admitted shares %.2f without prices and %.2f with, want all and less than half", free, dear)
+	if withoutPenalties, withPenalties := admitted(Penalties{}), admitted(Penalties{WastedWork: 0.3, LateFailure: 0.3}); withoutPenalties < 0.99 || withPenalties > 0.5 {
+		t.Fatalf("admitted shares %.2f without prices and %.2f with, want all and less than half", withoutPenalties, withPenalties)
 	}
 }
 
 // Guards against keeping choked servers at work: three times slower, a tenth of the usual
 // load leaves them a third busy, and they recover only once they rest.
-func TestFloorOfTheAdmittedShareLetsServersRest(t *testing.T) {
-	r := newThin(t)
+func TestMinAdmittedShareLetsServersRecover(t *testing.T) {
+	r := newAdmissionRunner(t)
 	for range 2000 {
 		id := r.sendRequest(0)
 		r.advance(20 * ms)
@@ -258,15 +258,15 @@
 			r.endAttempt(id, OK, 1500*ms)
 		}
 	}
-	if r.b.admitted > 0.06 || r.b.admitted <= 0 {
-		t.Fatalf("admitted share %.2f after 40 s of late answers, want about a twentieth", r.b.admitted)
+	if r.b.admittedShare > 0.06 || r.b.admittedShare <= 0 {
+		t.Fatalf("admitted share %.2f after 40 s of late answers, want about a twentieth", r.b.admittedShare)
 	}
 }
 
 // Guards against a cold part that is not a number for good: servers may start at nothing,
 // and an empty list leaves no capacity to divide by.
-func TestColdPartIsANumberWithoutCapacity(t *testing.T) {
-	r := newThin(t)
+func TestColdBudgetIsANumberWithoutCapacity(t *testing.T) {
+	r := newAdmissionRunner(t)
 	r.b.settings.Rules.ColdCapacityShare = 0
 	r.serveRequests(20, 0, 20*ms)
 	cold := inServiceEntries(1, 10)
@@ -277,8 +277,8 @@
 	r.b.updateScores(r.now)
 	r.deliverList(ListWhole, cold...)
 	for _, s := range r.b.subset {
-		if r.b.coldBudget(s, r.now, 0.02) || s.coldSaved != s.coldSaved || s.coldSaved > 0.02 {
-			t.Fatalf("server %d may be sent work at its very start, saved %v", s.Server, s.coldSaved)
+		if r.b.coldBudgetCovers(s, r.now, 0.02) || s.coldBudgetSeconds != s.coldBudgetSeconds || s.coldBudgetSeconds > 0.02 {
+			t.Fatalf("server %d may be sent work at its very start, saved %v", s.Server, s.coldBudgetSeconds)
 		}
 	}
 	r.serveRequests(200, 0, 50*ms)
@@ -293,24 +293,24 @@
 
 // Guards against a share that creeps: a crowd chokes servers within two seconds, and each
 // second of needless refusals after it costs as much as the crowd did.
-func TestThinNodeShareMovesWithinSeconds(t *testing.T) {
-	r := newThin(t)
-	after := func(d time.Duration, latency time.Duration) float64 {
-		for end := r.now + d; r.now < end; {
+func TestAdmittedShareMovesWithinSeconds(t *testing.T) {
+	r := newAdmissionRunner(t)
+	shareAfter := func(duration time.Duration, latency time.Duration) float64 {
+		for end := r.now + duration; r.now < end; {
 			id := r.sendRequest(0)
 			r.advance(50 * ms)
 			if len(r.serversSentTo(id)) > 0 {
 				r.endAttempt(id, OK, latency)
 			}
 		}
-		return r.b.admitted
+		return r.b.admittedShare
 	}
-	after(2*time.Second, 100*ms)
-	if share := after(1500*ms, 700*ms); share > 0.4 {
+	shareAfter(2*time.Second, 100*ms)
+	if share := shareAfter(1500*ms, 700*ms); share > 0.4 {
 		t.Errorf("%.2f admitted after 1.5 s of answers near the end of the aim, want less than 0.4", share)
 	}
-	after(4*time.Second, 700*ms)
-	if share := after(3*time.Second, 100*ms); share < 0.6 {
+	shareAfter(4*time.Second, 700*ms)
+	if share := shareAfter(3*time.Second, 100*ms); share < 0.6 {
 		t.Errorf("%.2f admitted 3 s after answers are quick again, want most", share)
 	}
 }
--- a/policy/tombstone.go
+++ b/policy/tombstone.go
@@ -254,7 +254,7 @@
 		lost = b.takeUnnamedOutOfService(now, origin, entries) || lost
 	}
 	if lost {
-		b.choose(now)
+		b.chooseSubset(now)
 	}
 }
 
