--- a/cmd/otterstep/main.go
+++ b/cmd/otterstep/main.go
@@ -42,7 +42,7 @@
 		return err
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-	return node.Run(ctx, cfg, node.Reloads{Path: path, Signals: hangups}, log)
+	return node.Run(ctx, cfg, node.ConfigReloader{Path: path, Signals: hangups}, log)
 }
 
 // logLevel reads the least level that is logged: debug, info (where none is named), warn or error.
--- a/internal/node/backoff.go
+++ b/internal/node/backoff.go
@@ -8,18 +8,18 @@
 // backoff gives the delays between attempts that fail in a row: they double from first
 // up to most.
 type backoff struct {
-	first, most time.Duration
-	delay       time.Duration // the last one given; 0: none so far
+	initialDelay, maxDelay time.Duration
+	lastDelay              time.Duration // the last one given; 0: none so far
 }
 
 // next gives the delay after one more failure.
 func (b *backoff) next() time.Duration {
-	b.delay = min(max(2*b.delay, b.first), b.most)
-	return b.delay
+	b.lastDelay = min(max(2*b.lastDelay, b.initialDelay), b.maxDelay)
+	return b.lastDelay
 }
 
 // reset is told of a success.
-func (b *backoff) reset() { b.delay = 0 }
+func (b *backoff) reset() { b.lastDelay = 0 }
 
 // sleep waits for a time or until ctx ends.
 func sleep(ctx context.Context, delay time.Duration) {
--- a/internal/node/call_orders.go
+++ b/internal/node/call_orders.go
@@ -7,36 +7,36 @@
 )
 
 // callOrder is what the module wants done: a call, or the end of one.
-type callOrder struct {
-	call policy.Call
-	ends bool
+type callCommand struct {
+	call     policy.Call
+	abandons bool
 }
 
 // callOrders hands orders from the loop, which must not wait, to discovery.
-type callOrders struct {
-	mu    sync.Mutex
-	queue []callOrder
-	there chan struct{} // room for one: there are some
+type callQueue struct {
+	mu        sync.Mutex
+	queue     []callCommand
+	available chan struct{} // room for one: there are some
 }
 
-func newCallOrders() *callOrders { return &callOrders{there: make(chan struct{}, 1)} }
+func newCallQueue() *callQueue { return &callQueue{available: make(chan struct{}, 1)} }
 
 // add queues an order; it never blocks.
-func (o *callOrders) add(order callOrder) {
+func (o *callQueue) add(command callCommand) {
 	o.mu.Lock()
-	o.queue = append(o.queue, order)
+	o.queue = append(o.queue, command)
 	o.mu.Unlock()
 	select {
-	case o.there <- struct{}{}:
+	case o.available <- struct{}{}:
 	default:
 	}
 }
 
 // take gives the orders so far.
-func (o *callOrders) take() []callOrder {
+func (o *callQueue) takeAll() []callCommand {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	orders := o.queue
+	commands := o.queue
 	o.queue = nil
-	return orders
+	return commands
 }
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -74,7 +74,7 @@
 }
 
 func (g *clients) listener(l net.Listener) net.Listener {
-	return clientListener{netutil.LimitListener(steadyListener{l, g.log}, g.most+g.spare), g}
+	return clientListener{netutil.LimitListener(retryingListener{l, g.log}, g.most+g.spare), g}
 }
 
 func (l clientListener) Accept() (net.Conn, error) {
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -278,13 +278,13 @@
 func startFront(t *testing.T, s *server, state func(*clients, net.Conn, http.ConnState)) (l *loop, addr string) {
 	t.Helper()
 	site := siteOf(t, settings)
-	l, err := newLoop(site.Settings, 1, newClock(), newUpstream(time.Hour, patience, 8), newCallOrders())
+	l, err := newLoop(site.Settings, 1, newClock(), newUpstream(time.Hour, patience, 8), newCallQueue())
 	if err != nil {
 		t.Fatal(err)
 	}
 	go l.run(t.Context())
 	l.post(func() {
-		l.hear(policy.ListWhole, []policy.Entry{{Server: 1, State: policy.StateInService}}, []string{s.addr})
+		l.applyNewerUpdate(policy.ListWhole, []policy.Entry{{Server: 1, State: policy.StateInService}}, []string{s.addr})
 	})
 	g := newClients(8)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -19,7 +19,7 @@
 	Seed      uint64
 	MemoryMB  int
 	Sockets   int
-	Known     hostList
+	KnownList listMessage
 	Site      wire.Site
 }
 
@@ -35,38 +35,38 @@
 			MemoryMB int `json:"memory_mb"`
 			Sockets  int
 		}
-		Known    hostList
+		Known    listMessage
 		Settings json.RawMessage
 	}
-	bad := func(what string, err error) (Config, error) {
+	invalid := func(what string, err error) (Config, error) {
 		return Config{}, fmt.Errorf("configuration %s: %s: %w", path, what, err)
 	}
 	if err := json.Unmarshal(text, &file); err != nil {
-		return bad("JSON", err)
+		return invalid("JSON", err)
 	}
 	for name, addr := range map[string]string{"listen": file.Listen, "discovery": file.Discovery} {
 		if _, _, err := net.SplitHostPort(addr); err != nil {
-			return bad(name, err)
+			return invalid(name, err)
 		}
 	}
-	c := Config{
+	config := Config{
 		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery,
-		MemoryMB: file.Limits.MemoryMB, Sockets: file.Limits.Sockets, Known: file.Known,
+		MemoryMB: file.Limits.MemoryMB, Sockets: file.Limits.Sockets, KnownList: file.Known,
 	}
-	if c.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
-		return bad("seed", err)
+	if config.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
+		return invalid("seed", err)
 	}
-	if c.Sockets < leastSockets {
-		return bad("limits.sockets", fmt.Errorf("%d, at least %d are needed", c.Sockets, leastSockets))
+	if config.Sockets < minSockets {
+		return invalid("limits.sockets", fmt.Errorf("%d, at least %d are needed", config.Sockets, minSockets))
 	}
 	if len(file.Settings) == 0 {
-		return bad("settings", errors.New("none given"))
+		return invalid("settings", errors.New("none given"))
 	}
-	if c.Site, err = wire.ParseSite(file.Settings); err != nil {
-		return bad("settings", err)
+	if config.Site, err = wire.ParseSite(file.Settings); err != nil {
+		return invalid("settings", err)
 	}
-	if err := c.Site.Settings.Validate(); err != nil {
-		return bad("settings", err)
+	if err := config.Site.Settings.Validate(); err != nil {
+		return invalid("settings", err)
 	}
-	return c, nil
+	return config, nil
 }
--- a/internal/node/decision_log.go
+++ b/internal/node/decision_log.go
@@ -17,11 +17,11 @@
 // CallPlanned implements policy.Observer. A list that is due already shows a time left below 0.
 func (g decisionLog) CallPlanned(at, due time.Duration) {
 	now := g.loop.now
-	left := slog.String("list_due_in", "not heard yet")
+	listDueIn := slog.String("list_due_in", "not heard yet")
 	if due > 0 {
-		left = slog.Duration("list_due_in", due-now)
+		listDueIn = slog.Duration("list_due_in", due-now)
 	}
-	g.log.Debug("next call to discovery", "in", at-now, left)
+	g.log.Debug("next call to discovery", "in", at-now, listDueIn)
 }
 
 // ListOverdue implements policy.Observer.
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -20,33 +20,33 @@
 
 const (
 	// pollWait is how long discovery is asked to wait for changes where none are waited for.
-	pollWait = time.Millisecond
+	minWatchWait = time.Millisecond
 
 	// callPatience is how long a call is left out, beyond the time that discovery is asked to wait, for
 	// its answer to begin, and how long an answer that has begun may pause. The module calls anew long
 	// before: this only ends what will never be answered.
-	callPatience = 30 * time.Second
-	callConnect  = 10 * time.Second // for its connection to come up
-	callIdle     = 30 * time.Second // a connection rests for so long, as one to an address of before
+	callResponseTimeout = 30 * time.Second
+	callConnectTimeout  = 10 * time.Second // for its connection to come up
+	callIdleTimeout     = 30 * time.Second // a connection rests for so long, as one to an address of before
 
 	// lastWords is how long a call that is given up is still read: what discovery has written by then
 	// counts as told.
-	lastWords = 50 * time.Millisecond
+	abandonedReadTimeout = 50 * time.Millisecond
 	// answerRest is how long the end of an answer is waited for behind a message that is whole, so that
 	// its connection may be used again.
-	answerRest = 200 * time.Millisecond
+	bodyEndTimeout = 200 * time.Millisecond
 	// restingMost bounds the connections that wait so; each holds a descriptor.
-	restingMost = 4
+	maxCallsAwaitingBodyEnd = 4
 )
 
 // hostList is discovery's list of servers or the changes to it.
-type hostList struct {
-	Rev     int64    `json:"rev"`
-	All     bool     `json:"all"`
-	Targets []target `json:"targets"`
+type listMessage struct {
+	Version int64       `json:"rev"`
+	IsWhole bool        `json:"all"`
+	Entries []listEntry `json:"targets"`
 }
 
-type target struct {
+type listEntry struct {
 	UID          string  `json:"uid"`
 	Endpoint     string  `json:"endpoint"`
 	AZ           string  `json:"az"`
@@ -58,33 +58,33 @@
 
 // discovery carries out the module's calls for the list, several at a time, and keeps the version that the
 // node has: answers come in any order, and one of an older version says nothing new.
-type discovery struct {
-	addr     string
-	zones    []string
-	clock    clock
-	patience time.Duration
-	log      *callLog
-	members  func(news listNews)                 // hands a list on
-	ended    func(end policy.CallEnd)            // tells the module of the end of a call
-	arrived  func(id policy.CallID, bytes int64) // and of the bytes of its answer so far
-	gate     *sendGate
-
-	client  http.Client
-	orders  *callOrders
-	moves   chan string // new addresses of discovery
-	replies chan callReply
-	out     map[policy.CallID]*listCall
-	resting []*listCall // the latest whose answers were whole before their end had come
-
-	source  policy.SourceID // of the versions
-	rev     int64
-	listed  bool      // rev is discovery's own
-	epoch   int       // of its versions; those of another one say nothing
-	takenAt time.Time // when rev was heard
+type discoveryClient struct {
+	addr            string
+	zones           []string
+	clock           clock
+	responseTimeout time.Duration
+	callLog         *callLog
+	onList          func(news listUpdate)               // hands a list on
+	onCallEnd       func(end policy.CallEnd)            // tells the module of the end of a call
+	onCallProgress  func(id policy.CallID, bytes int64) // and of the bytes of its answer so far
+	gate            *sendGate
+
+	client          http.Client
+	commands        *callQueue
+	addrChanges     chan string // new addresses of discovery
+	replies         chan callReply
+	callsInFlight   map[policy.CallID]*listCall
+	awaitingBodyEnd []*listCall // the latest whose answers were whole before their end had come
+
+	source     policy.SourceID // of the versions
+	version    int64
+	hasVersion bool      // rev is discovery's own
+	epoch      int       // of its versions; those of another one say nothing
+	acceptedAt time.Time // when rev was heard
 }
 
 // listNews is what discovery says of servers; endpoints go with the entries.
-type listNews struct {
+type listUpdate struct {
 	kind      policy.ListKind
 	origin    policy.Origin
 	entries   []policy.Entry
@@ -94,158 +94,160 @@
 // listCall is a call that is out.
 type listCall struct {
 	policy.Call
-	source   policy.SourceID
-	whole    bool  // it asks for the whole list
-	since    int64 // or else for what is newer than this version
-	epoch    int
-	began    time.Time
-	end      context.CancelFunc
-	deliver  func(callReply) // hands on what comes of it
-	answered bool            // its answer was handed on before its end; for fetch alone
+	source          policy.SourceID
+	wantsWhole      bool  // it asks for the whole list
+	since           int64 // or else for what is newer than this version
+	epoch           int
+	startedAt       time.Time
+	cancel          context.CancelFunc
+	deliver         func(callReply) // hands on what comes of it
+	answerDelivered bool            // its answer was handed on before its end; for fetch alone
 }
 
 // callReply is what came of a call.
 type callReply struct {
-	call        *listCall
-	list        serverList
-	bytes       int64 // of the answer
-	err         error
-	part        bool // the list holds lines of an answer that is not whole yet, and more will come
-	named       bool // it is a whole list, and all of its lines have come
-	unversioned bool // their version is not known yet
-	open        bool // the answer is whole, and the end of its framing has not come
+	call           *listCall
+	list           serverList
+	answerBytes    int64 // of the answer
+	err            error
+	isPartial      bool // the list holds lines of an answer that is not whole yet, and more will come
+	allEntriesRead bool // it is a whole list, and all of its lines have come
+	versionUnknown bool // their version is not known yet
+	awaitsBodyEnd  bool // the answer is whole, and the end of its framing has not come
 
-	reopen func() // the gate, which is shut since then to servers that the list takes out of service
+	reopenGate func() // the gate, which is shut since then to servers that the list takes out of service
 }
 
 // namesAll tells whether the servers are out of service that the reply does not name.
-func (r *callReply) namesAll() bool { return r.err == nil && r.list.all && (!r.part || r.named) }
+func (r *callReply) namesAllServers() bool {
+	return r.err == nil && r.list.isWhole && (!r.isPartial || r.allEntriesRead)
+}
 
-func newDiscovery(addr string, site wire.Site, c clock, log *slog.Logger) *discovery {
-	return &discovery{
-		addr: addr, source: sourceID(addr), gate: newSendGate(), zones: site.Zones, clock: c, patience: callPatience, log: &callLog{log: log, lines: new(atomic.Int64)},
+func newDiscoveryClient(addr string, site wire.Site, c clock, log *slog.Logger) *discoveryClient {
+	return &discoveryClient{
+		addr: addr, source: sourceID(addr), gate: newSendGate(), zones: site.Zones, clock: c, responseTimeout: callResponseTimeout, callLog: &callLog{logger: log, partialListLines: new(atomic.Int64)},
 		client: http.Client{
 			Transport: &http.Transport{
-				DialContext: dialTCP(callConnect).dialContext, MaxIdleConnsPerHost: 1, IdleConnTimeout: callIdle,
+				DialContext: tcpDialer(callConnectTimeout).dialContext, MaxIdleConnsPerHost: 1, IdleConnTimeout: callIdleTimeout,
 			},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
-		orders: newCallOrders(), moves: make(chan string),
-		replies: make(chan callReply), out: map[policy.CallID]*listCall{},
-		arrived: func(policy.CallID, int64) {},
+		commands: newCallQueue(), addrChanges: make(chan string),
+		replies: make(chan callReply), callsInFlight: map[policy.CallID]*listCall{},
+		onCallProgress: func(policy.CallID, int64) {},
 	}
 }
 
 // follow has the list and the ends of calls handed on to a loop. It waits until they are in place: the
 // module hears of the end of a call behind the list that it brought.
-func (d *discovery) follow(l *loop) {
+func (d *discoveryClient) attachTo(l *loop) {
 	d.gate = l.gate
-	d.members = func(news listNews) {
+	d.onList = func(news listUpdate) {
 		l.await(func() { l.members(news) })
 	}
-	d.ended = func(end policy.CallEnd) {
+	d.onCallEnd = func(end policy.CallEnd) {
 		l.await(func() { l.balancer.CallEnded(l.now, end) })
 	}
-	d.arrived = func(id policy.CallID, bytes int64) {
+	d.onCallProgress = func(id policy.CallID, bytes int64) {
 		l.post(func() { l.balancer.CallProgress(l.now, id, bytes) })
 	}
 }
 
 // start hands on the list that this node last had. Where it is a whole one, what has changed since is
 // asked for: whole lists, called for by all nodes at once, would keep discovery busy for seconds.
-func (d *discovery) start(known hostList, asked bool) {
+func (d *discoveryClient) start(known listMessage, onRequest bool) {
 	var list serverList
-	for _, t := range known.Targets {
-		list.add(t, d.zones, d.clock)
+	for _, entry := range known.Entries {
+		list.add(entry, d.zones, d.clock)
 	}
-	if asked && len(known.Targets) > 0 {
-		d.rev, d.listed = known.Rev, known.All
+	if onRequest && len(known.Entries) > 0 {
+		d.version, d.hasVersion = known.Version, known.IsWhole
 	}
-	d.tell(policy.ListCached, policy.Origin{Source: d.source, Version: known.Rev}, list)
+	d.publish(policy.ListCached, policy.Origin{Source: d.source, Version: known.Version}, list)
 }
 
 // tell hands on what discovery says.
-func (d *discovery) tell(kind policy.ListKind, origin policy.Origin, list serverList) {
-	d.members(listNews{kind: kind, origin: origin, entries: list.entries, endpoints: list.endpoints})
+func (d *discoveryClient) publish(kind policy.ListKind, origin policy.Origin, list serverList) {
+	d.onList(listUpdate{kind: kind, origin: origin, entries: list.entries, endpoints: list.endpoints})
 }
 
 // run carries out calls until ctx ends.
-func (d *discovery) run(ctx context.Context) {
-	defer d.leave()
+func (d *discoveryClient) run(ctx context.Context) {
+	defer d.abandonAll()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case addr := <-d.moves:
-			d.settle(addr)
-		case <-d.orders.there:
-			for _, order := range d.orders.take() {
-				d.obey(ctx, order)
+		case addr := <-d.addrChanges:
+			d.changeAddr(addr)
+		case <-d.commands.available:
+			for _, command := range d.commands.takeAll() {
+				d.execute(ctx, command)
 			}
 		case reply := <-d.replies:
-			d.replied(reply)
-			reply.reopen()
+			d.applyReply(reply)
+			reply.reopenGate()
 		}
 	}
 }
 
 // move makes run go on at another address.
-func (d *discovery) move(ctx context.Context, addr string) {
+func (d *discoveryClient) requestAddrChange(ctx context.Context, addr string) {
 	select {
-	case d.moves <- addr:
+	case d.addrChanges <- addr:
 	case <-ctx.Done():
 	}
 }
 
 // settle goes on at another address, which counts versions of its own.
-func (d *discovery) settle(addr string) {
-	d.leave()
-	d.addr, d.source, d.rev = addr, sourceID(addr), 0
-	d.loseVersion()
-	d.tell(policy.ListAddressChanged, policy.Origin{}, serverList{})
+func (d *discoveryClient) changeAddr(addr string) {
+	d.abandonAll()
+	d.addr, d.source, d.version = addr, sourceID(addr), 0
+	d.discardVersion()
+	d.publish(policy.ListAddressChanged, policy.Origin{}, serverList{})
 }
 
 // leave gives up all calls that are out.
-func (d *discovery) leave() {
-	for id := range d.out {
-		d.giveUp(id)
+func (d *discoveryClient) abandonAll() {
+	for id := range d.callsInFlight {
+		d.abandon(id)
 	}
 	d.client.CloseIdleConnections()
 }
 
 // giveUp ends a call. Of what still comes of it only what takes servers out of service counts.
-func (d *discovery) giveUp(id policy.CallID) {
-	if call := d.out[id]; call != nil {
-		time.AfterFunc(lastWords, call.end)
-		delete(d.out, id)
+func (d *discoveryClient) abandon(id policy.CallID) {
+	if call := d.callsInFlight[id]; call != nil {
+		time.AfterFunc(abandonedReadTimeout, call.cancel)
+		delete(d.callsInFlight, id)
 	}
 }
 
 // loseVersion has the next call ask for the whole list. What comes of those that are out can't be added
 // to any.
-func (d *discovery) loseVersion() {
-	d.listed = false
+func (d *discoveryClient) discardVersion() {
+	d.hasVersion = false
 	d.epoch++
 }
 
 // obey carries out what the module wants.
-func (d *discovery) obey(ctx context.Context, order callOrder) {
-	if order.ends {
-		d.giveUp(order.call.ID)
+func (d *discoveryClient) execute(ctx context.Context, command callCommand) {
+	if command.abandons {
+		d.abandon(command.call.ID)
 		return
 	}
-	running := ctx
-	ctx, end := context.WithCancel(running)
+	runCtx := ctx
+	ctx, cancel := context.WithCancel(runCtx)
 	call := &listCall{
-		deliver: func(reply callReply) { d.deliver(running, reply) },
-		Call:    order.call, source: d.source, whole: !d.listed, since: d.rev, epoch: d.epoch, began: time.Now(), end: end,
+		deliver: func(reply callReply) { d.deliver(runCtx, reply) },
+		Call:    command.call, source: d.source, wantsWhole: !d.hasVersion, since: d.version, epoch: d.epoch, startedAt: time.Now(), cancel: cancel,
 	}
-	d.out[call.ID] = call
-	d.log.began(call, d.addr)
-	address := d.address(call)
+	d.callsInFlight[call.ID] = call
+	d.callLog.callStarted(call, d.addr)
+	callURL := d.callURL(call)
 	go func() {
-		defer end()
-		if reply := d.fetch(ctx, call, address); !call.answered {
+		defer cancel()
+		if reply := d.fetch(ctx, call, callURL); !call.answerDelivered {
 			call.deliver(reply)
 		}
 	}()
@@ -253,24 +255,24 @@
 
 // deliver hands a reply to run, also one of a call that has ended meanwhile: it was written before. However long
 // run is busy, no request goes out from now on to servers that the reply takes out of service.
-func (d *discovery) deliver(running context.Context, reply callReply) {
+func (d *discoveryClient) deliver(runCtx context.Context, reply callReply) {
 	reply.list.readAt = time.Now()
-	reply.reopen = d.gate.shut(reply.list.entries, reply.namesAll())
+	reply.reopenGate = d.gate.closeFor(reply.list.entries, reply.namesAllServers())
 	select {
 	case d.replies <- reply:
-	case <-running.Done():
-		reply.reopen()
+	case <-runCtx.Done():
+		reply.reopenGate()
 	}
 }
 
 // address is what a call gets.
-func (d *discovery) address(call *listCall) url.URL {
-	address := url.URL{Scheme: "http", Host: d.addr, Path: "/discovery/hosts"}
-	if !call.whole {
-		address.RawQuery = "since=" + strconv.FormatInt(call.since, 10) +
-			"&timeout_ms=" + strconv.FormatInt(max(call.WaitForChanges, pollWait).Milliseconds(), 10)
+func (d *discoveryClient) callURL(call *listCall) url.URL {
+	callURL := url.URL{Scheme: "http", Host: d.addr, Path: "/discovery/hosts"}
+	if !call.wantsWhole {
+		callURL.RawQuery = "since=" + strconv.FormatInt(call.since, 10) +
+			"&timeout_ms=" + strconv.FormatInt(max(call.WaitForChanges, minWatchWait).Milliseconds(), 10)
 	}
-	return address
+	return callURL
 }
 
 // statusError tells that discovery has answered with another status than 200.
@@ -288,21 +290,21 @@
 func (e *unusableError) Unwrap() error { return e.err }
 
 // fetch makes a call and reads its answer; it touches nothing of d that changes.
-func (d *discovery) fetch(ctx context.Context, call *listCall, address url.URL) callReply {
+func (d *discoveryClient) fetch(ctx context.Context, call *listCall, callURL url.URL) callReply {
 	reply := callReply{call: call}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	limit := newProgress(call.WaitForChanges+d.patience, d.patience, func() { cancel(context.DeadlineExceeded) })
-	defer limit.stop()
-	limit.arrived = func(bytes int) { d.arrived(call.ID, int64(bytes)) }
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, address.String(), nil)
+	reader := newDeadlineReader(call.WaitForChanges+d.responseTimeout, d.responseTimeout, func() { cancel(context.DeadlineExceeded) })
+	defer reader.stop()
+	reader.onProgress = func(bytes int) { d.onCallProgress(call.ID, int64(bytes)) }
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, callURL.String(), nil)
 	if err != nil {
 		reply.err = fmt.Errorf("list: %w", err)
 		return reply
 	}
 	resp, err := d.client.Do(req)
 	if err != nil {
-		reply.err = listError(ctx, err)
+		reply.err = callError(ctx, err)
 		return reply
 	}
 	defer resp.Body.Close()
@@ -310,152 +312,152 @@
 		reply.err = fmt.Errorf("list: %w", &statusError{resp.StatusCode, resp.Status})
 		return reply
 	}
-	reply.list, err = followList(limit.follow(resp.Body), d.zones, d.clock, listProgress{
-		leaving: func(lines serverList, versioned bool) {
-			call.deliver(callReply{call: call, list: lines, part: true, unversioned: !versioned})
+	reply.list, err = streamList(reader.wrap(resp.Body), d.zones, d.clock, listCallbacks{
+		onOutOfService: func(lines serverList, versionKnown bool) {
+			call.deliver(callReply{call: call, list: lines, isPartial: true, versionUnknown: !versionKnown})
 		},
-		named: func(list serverList) {
-			call.deliver(callReply{call: call, list: list, part: true, named: true})
+		onAllEntries: func(list serverList) {
+			call.deliver(callReply{call: call, list: list, isPartial: true, allEntriesRead: true})
 		},
-		whole: func(list serverList) {
-			call.answered = true
-			time.AfterFunc(answerRest, func() { cancel(nil) })
-			call.deliver(callReply{call: call, list: list, bytes: int64(limit.read), open: true})
+		onComplete: func(list serverList) {
+			call.answerDelivered = true
+			time.AfterFunc(bodyEndTimeout, func() { cancel(nil) })
+			call.deliver(callReply{call: call, list: list, answerBytes: int64(reader.bytesRead), awaitsBodyEnd: true})
 		},
 	})
-	reply.bytes = int64(limit.read)
+	reply.answerBytes = int64(reader.bytesRead)
 	if err != nil {
-		reply.err = &unusableError{listError(ctx, err)}
+		reply.err = &unusableError{callError(ctx, err)}
 	}
 	return reply
 }
 
 // replied takes what came of a call, and tells the module.
-func (d *discovery) replied(reply callReply) {
+func (d *discoveryClient) applyReply(reply callReply) {
 	call := reply.call
-	if reply.part || d.out[call.ID] != call { // more of it will come, or it was given up meanwhile
-		d.takeLeaving(unusableKind(&reply), reply)
+	if reply.isPartial || d.callsInFlight[call.ID] != call { // more of it will come, or it was given up meanwhile
+		d.acceptOutOfService(outOfServiceKind(&reply), reply)
 		return
 	}
-	delete(d.out, call.ID)
-	if reply.open {
-		d.rest(call)
+	delete(d.callsInFlight, call.ID)
+	if reply.awaitsBodyEnd {
+		d.awaitBodyEnd(call)
 	} else {
-		call.end()
+		call.cancel()
 	}
 	if reply.err == nil {
-		kind := unusableKind(&reply)
-		if reply.err = d.check(call, reply.list); reply.err != nil {
-			d.takeLeaving(kind, reply)
+		kind := outOfServiceKind(&reply)
+		if reply.err = d.validate(call, reply.list); reply.err != nil {
+			d.acceptOutOfService(kind, reply)
 		}
 	}
 	var status *statusError
 	if errors.As(reply.err, &status) && status.code/100 == 4 && call.epoch == d.epoch {
-		d.loseVersion() // discovery does not know it: start over
+		d.discardVersion() // discovery does not know it: start over
 	}
-	end := policy.CallEnd{ID: call.ID, Result: policy.CallAnswered, UnusableBytes: reply.bytes}
+	callEnd := policy.CallEnd{ID: call.ID, Result: policy.CallAnswered, UnusableBytes: reply.answerBytes}
 	var unusable *unusableError
 	switch {
 	case errors.As(reply.err, &unusable):
-		end.Result = policy.CallUnusable
+		callEnd.Result = policy.CallUnusable
 	case status != nil:
-		end.Result = policy.CallRefused
+		callEnd.Result = policy.CallRefused
 	case reply.err != nil:
-		end.Result = policy.CallFailed
+		callEnd.Result = policy.CallFailed
 	default:
-		end.Changed = d.take(reply.list)
+		callEnd.Changed = d.accept(reply.list)
 	}
 	if reply.err == nil {
-		d.log.answered(d.rev)
+		d.callLog.callAnswered(d.version)
 	} else {
-		d.log.failed(call, reply.err, d.rev)
+		d.callLog.callFailed(call, reply.err, d.version)
 	}
-	d.ended(end)
+	d.onCallEnd(callEnd)
 }
 
 // rest leaves the end of an answer time to come; the oldest of several that are waited for is given up.
-func (d *discovery) rest(call *listCall) {
-	if d.resting = append(d.resting, call); len(d.resting) > restingMost {
-		d.resting[0].end()
-		d.resting = slices.Delete(d.resting, 0, 1)
+func (d *discoveryClient) awaitBodyEnd(call *listCall) {
+	if d.awaitingBodyEnd = append(d.awaitingBodyEnd, call); len(d.awaitingBodyEnd) > maxCallsAwaitingBodyEnd {
+		d.awaitingBodyEnd[0].cancel()
+		d.awaitingBodyEnd = slices.Delete(d.awaitingBodyEnd, 0, 1)
 	}
 }
 
 // check tells why an answer can't be taken. One that goes back behind the version that the node had when
 // it was asked for comes from a discovery that counts anew, or once more from before.
-func (d *discovery) check(call *listCall, list serverList) error {
+func (d *discoveryClient) validate(call *listCall, list serverList) error {
 	switch {
 	case call.epoch != d.epoch:
 		return errors.New("list: the version that it counts from is lost")
-	case call.whole && !list.all:
+	case call.wantsWhole && !list.isWhole:
 		return &unusableError{errors.New("list: changes in place of the whole list")}
-	case d.goesBack(call, list):
-		d.loseVersion()
-		return &unusableError{fmt.Errorf("list: version %d after %d", list.rev, d.rev)}
+	case d.versionRegressed(call, list):
+		d.discardVersion()
+		return &unusableError{fmt.Errorf("list: version %d after %d", list.version, d.version)}
 	}
 	return nil
 }
 
 // takeLeaving hands on what an answer takes out of service that is not whole, or can't be taken otherwise.
-func (d *discovery) takeLeaving(kind policy.ListKind, reply callReply) {
+func (d *discoveryClient) acceptOutOfService(kind policy.ListKind, reply callReply) {
 	list, call := reply.list, reply.call
-	overtaken := call.source == d.source && d.listed && list.rev < d.rev && call.began.Before(d.takenAt) &&
-		!d.goesBack(call, list)
-	if len(list.entries) == 0 && kind != policy.ListOutdated || overtaken && !reply.unversioned {
+	superseded := call.source == d.source && d.hasVersion && list.version < d.version && call.startedAt.Before(d.acceptedAt) &&
+		!d.versionRegressed(call, list)
+	if len(list.entries) == 0 && kind != policy.ListOutdated || superseded && !reply.versionUnknown {
 		return
 	}
-	origin := policy.Origin{Source: call.source, Version: list.rev}
-	if reply.unversioned {
+	origin := policy.Origin{Source: call.source, Version: list.version}
+	if reply.versionUnknown {
 		origin.Version = policy.UnknownVersion
 	}
-	d.log.leaving(list, call, origin.Version)
-	d.tell(kind, origin, list)
+	d.callLog.outOfServiceAccepted(list, call, origin.Version)
+	d.publish(kind, origin, list)
 }
 
 // unusableKind is how an answer counts that can't be taken: what a whole list does not name is out too.
-func unusableKind(reply *callReply) policy.ListKind {
-	if reply.namesAll() {
+func outOfServiceKind(reply *callReply) policy.ListKind {
+	if reply.namesAllServers() {
 		return policy.ListOutdated
 	}
 	return policy.ListPartial
 }
 
 // goesBack tells whether an answer is of an earlier version than its call asked from, or than the node had then.
-func (d *discovery) goesBack(call *listCall, list serverList) bool {
-	return d.listed && (!call.whole && list.rev < call.since || call.began.After(d.takenAt) && list.rev < d.rev)
+func (d *discoveryClient) versionRegressed(call *listCall, list serverList) bool {
+	return d.hasVersion && (!call.wantsWhole && list.version < call.since || call.startedAt.After(d.acceptedAt) && list.version < d.version)
 }
 
 // take hands on what an answer says, unless a later version has come meanwhile. It tells whether there
 // was something.
-func (d *discovery) take(list serverList) (changed bool) {
-	if d.listed && list.rev < d.rev {
+func (d *discoveryClient) accept(list serverList) (changed bool) {
+	if d.hasVersion && list.version < d.version {
 		return false
 	}
-	changed = !d.listed || list.rev > d.rev
-	d.listed, d.rev, d.takenAt = true, list.rev, time.Now()
-	d.log.taken(list, d.addr)
-	origin := policy.Origin{Source: d.source, Version: list.rev}
-	if list.all {
-		d.tell(policy.ListWhole, origin, list)
+	changed = !d.hasVersion || list.version > d.version
+	d.hasVersion, d.version, d.acceptedAt = true, list.version, time.Now()
+	d.callLog.listAccepted(list, d.addr)
+	origin := policy.Origin{Source: d.source, Version: list.version}
+	if list.isWhole {
+		d.publish(policy.ListWhole, origin, list)
 		return changed
 	}
 	d.logChanges(list)
-	d.tell(policy.ListChanges, origin, list)
+	d.publish(policy.ListChanges, origin, list)
 	return changed
 }
 
 // logChanges logs the first few changed servers, and how many more there are.
-func (d *discovery) logChanges(list serverList) {
-	for _, t := range list.first {
-		d.log.log.Info("server", "uid", t.UID, "endpoint", t.Endpoint, "state", t.State, "boot_ms", t.BootMs)
+func (d *discoveryClient) logChanges(list serverList) {
+	for _, entry := range list.firstEntries {
+		d.callLog.logger.Info("server", "uid", entry.UID, "endpoint", entry.Endpoint, "state", entry.State, "boot_ms", entry.BootMs)
 	}
-	if more := len(list.entries) - len(list.first); more > 0 {
-		d.log.log.Info("more servers changed", "count", more)
+	if more := len(list.entries) - len(list.firstEntries); more > 0 {
+		d.callLog.logger.Info("more servers changed", "count", more)
 	}
 }
 
 // listError words why a call failed: its time limit, if that was it.
-func listError(ctx context.Context, err error) error {
+func callError(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		err = cause
 	}
@@ -464,17 +466,17 @@
 
 // The words for a server's state.
 const (
-	stateInService = "in_service"
-	stateDraining  = "terminating"
-	stateGone      = "terminated"
+	stateInService   = "in_service"
+	stateTerminating = "terminating"
+	stateTerminated  = "terminated"
 )
 
 // state reads a word for a server's state. One that is new to us gets no new work.
-func state(word string) policy.ServerState {
-	switch word {
+func parseState(name string) policy.ServerState {
+	switch name {
 	case stateInService:
 		return policy.StateInService
-	case stateGone:
+	case stateTerminated:
 		return policy.StateGone
 	}
 	return policy.StateDraining
--- a/internal/node/discovery_service_test.go
+++ b/internal/node/discovery_service_test.go
@@ -16,61 +16,61 @@
 
 // workCosts is what discovery's calls cost it. It works through calls in turn, so a call waits
 // for all that came before; one that would wait for longer than patience fails, and costs as much.
-type workCosts struct {
-	call     time.Duration // a call
-	line     time.Duration // and each line of a whole list besides
-	patience time.Duration
+type serviceCosts struct {
+	perCall      time.Duration // a call
+	perEntry     time.Duration // and each line of a whole list besides
+	queueTimeout time.Duration
 
-	watchesGoOn bool // a call that comes within watchGap of the last answer goes on with its watch and costs nothing
+	freeContinuedWatches bool // a call that comes within watchGap of the last answer goes on with its watch and costs nothing
 }
 
 // watchGap is the time within which the next call goes on with a watch.
-const watchGap = 200 * time.Millisecond
+const watchContinuationWindow = 200 * time.Millisecond
 
 // serviceCounts is what discovery was asked and has told.
 type serviceCounts struct {
-	calls      int
-	wholeLists int   // answers that were whole lists
-	changes    int   // answers that held changes
-	unchanged  int   // watches whose time ended without one
-	failed     int   // calls that waited too long
-	lines      int   // of changes, over all answers
-	wholeBytes int64 // bodies of whole lists
-	newsBytes  int64 // bodies of changes
+	calls          int
+	wholeLists     int   // answers that were whole lists
+	changes        int   // answers that held changes
+	unchanged      int   // watches whose time ended without one
+	failed         int   // calls that waited too long
+	changedEntries int   // of changes, over all answers
+	wholeBytes     int64 // bodies of whole lists
+	changeBytes    int64 // bodies of changes
 }
 
 // discoveryService stands in for discovery as the one service for all nodes. It speaks the
 // published protocol, counts what it is asked, and takes time for its work.
 type discoveryService struct {
 	*httptest.Server
-	costs   workCosts
+	costs   serviceCosts
 	traffic traffic
 
-	mu        sync.Mutex
-	rev       int64
-	targets   map[string]target
-	revised   []target         // the line that changed with each version after firstRev
-	answers   map[int64][]byte // encoded answers of this version, by the version asked from
-	news      chan struct{}    // closed and replaced at each change
-	busyUntil time.Time
-	answered  map[string]time.Time // when a node's connection had its last answer, with watchesGoOn
-	counts    serviceCounts
+	mu             sync.Mutex
+	version        int64
+	entries        map[string]listEntry
+	changeLog      []listEntry      // the line that changed with each version after firstRev
+	encodedAnswers map[int64][]byte // encoded answers of this version, by the version asked from
+	changed        chan struct{}    // closed and replaced at each change
+	busyUntil      time.Time
+	lastAnswerAt   map[string]time.Time // when a node's connection had its last answer, with watchesGoOn
+	counts         serviceCounts
 }
 
 // firstRev is the version of discovery's first list.
-const firstRev = 1
+const firstVersion = 1
 
 // sinceNothing asks for the whole list.
-const sinceNothing = 0
+const noVersion = 0
 
-func newDiscoveryService(tb testing.TB, costs workCosts, targets []target) *discoveryService {
+func newDiscoveryService(tb testing.TB, costs serviceCosts, entries []listEntry) *discoveryService {
 	tb.Helper()
 	d := &discoveryService{
-		costs: costs, rev: firstRev, targets: make(map[string]target, len(targets)),
-		answers: map[int64][]byte{}, news: make(chan struct{}), answered: map[string]time.Time{},
+		costs: costs, version: firstVersion, entries: make(map[string]listEntry, len(entries)),
+		encodedAnswers: map[int64][]byte{}, changed: make(chan struct{}), lastAnswerAt: map[string]time.Time{},
 	}
-	for _, line := range targets {
-		d.targets[line.UID] = line
+	for _, entry := range entries {
+		d.entries[entry.UID] = entry
 	}
 	d.Server = httptest.NewUnstartedServer(d)
 	d.Server.Listener = countingListener{d.Server.Listener, &d.traffic}
@@ -83,31 +83,31 @@
 }
 
 // change makes a new version with one changed line and gives its number.
-func (d *discoveryService) change(line target) int64 {
+func (d *discoveryService) change(entry listEntry) int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.rev++
-	d.revised = append(d.revised, line)
-	if line.State == "terminated" {
-		delete(d.targets, line.UID)
+	d.version++
+	d.changeLog = append(d.changeLog, entry)
+	if entry.State == "terminated" {
+		delete(d.entries, entry.UID)
 	} else {
-		d.targets[line.UID] = line
+		d.entries[entry.UID] = entry
 	}
-	clear(d.answers)
-	close(d.news)
-	d.news = make(chan struct{})
-	return d.rev
+	clear(d.encodedAnswers)
+	close(d.changed)
+	d.changed = make(chan struct{})
+	return d.version
 }
 
 // list gives the whole list, as a node's configuration may hold it.
-func (d *discoveryService) list() hostList {
+func (d *discoveryService) list() listMessage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.wholeList()
 }
 
 // counted gives the counts so far.
-func (d *discoveryService) counted() serviceCounts {
+func (d *discoveryService) countsSoFar() serviceCounts {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.counts
@@ -116,7 +116,7 @@
 // ServeHTTP answers a call for the whole list or a watch.
 func (d *discoveryService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
-	since, wait := int64(sinceNothing), time.Duration(0)
+	since, wait := int64(noVersion), time.Duration(0)
 	if query.Has("since") {
 		version, err := strconv.ParseInt(query.Get("since"), 10, 64)
 		if err != nil {
@@ -130,12 +130,12 @@
 		}
 		since, wait = version, time.Duration(waitMs)*time.Millisecond
 	}
-	if !d.goesOn(r.RemoteAddr) && !d.work(r.Context(), since == sinceNothing) {
+	if !d.continuesWatch(r.RemoteAddr) && !d.waitForTurn(r.Context(), since == noVersion) {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if since != sinceNothing {
-		d.awaitNews(r.Context(), since, wait)
+	if since != noVersion {
+		d.awaitChange(r.Context(), since, wait)
 	}
 	body, err := d.answer(since)
 	if err != nil {
@@ -147,39 +147,39 @@
 	w.Write(body)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.answered[r.RemoteAddr] = time.Now()
+	d.lastAnswerAt[r.RemoteAddr] = time.Now()
 }
 
 // goesOn tells whether a call goes on with its node's watch at no cost.
-func (d *discoveryService) goesOn(node string) bool {
+func (d *discoveryService) continuesWatch(nodeAddr string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.costs.watchesGoOn && time.Since(d.answered[node]) < watchGap
+	return d.costs.freeContinuedWatches && time.Since(d.lastAnswerAt[nodeAddr]) < watchContinuationWindow
 }
 
 // work takes a call's turn; false if that would come too late. The time it takes stands for
 // the work, nothing is synchronized by it.
-func (d *discoveryService) work(ctx context.Context, whole bool) bool {
+func (d *discoveryService) waitForTurn(ctx context.Context, whole bool) bool {
 	d.mu.Lock()
-	cost := d.costs.call
+	cost := d.costs.perCall
 	if whole {
-		cost += time.Duration(len(d.targets)) * d.costs.line
+		cost += time.Duration(len(d.entries)) * d.costs.perEntry
 	}
 	now := time.Now()
 	if d.busyUntil.Before(now) {
 		d.busyUntil = now
 	}
 	d.busyUntil = d.busyUntil.Add(cost)
-	waits := d.busyUntil.Sub(now)
-	inTime := waits <= d.costs.patience
+	wait := d.busyUntil.Sub(now)
+	inTime := wait <= d.costs.queueTimeout
 	d.counts.calls++
 	if !inTime {
 		d.counts.failed++
-		waits = d.costs.patience
+		wait = d.costs.queueTimeout
 	}
 	d.mu.Unlock()
 
-	turn := time.NewTimer(waits)
+	turn := time.NewTimer(wait)
 	defer turn.Stop()
 	select {
 	case <-turn.C:
@@ -189,18 +189,18 @@
 }
 
 // awaitNews waits until there is something newer than a version, for some time at most.
-func (d *discoveryService) awaitNews(ctx context.Context, since int64, wait time.Duration) {
+func (d *discoveryService) awaitChange(ctx context.Context, since int64, wait time.Duration) {
 	d.mu.Lock()
-	news, there := d.news, d.rev > since
+	changed, isNewer := d.changed, d.version > since
 	d.mu.Unlock()
-	if there {
+	if isNewer {
 		return
 	}
-	over := time.NewTimer(wait)
-	defer over.Stop()
+	timeout := time.NewTimer(wait)
+	defer timeout.Stop()
 	select {
-	case <-news:
-	case <-over.C:
+	case <-changed:
+	case <-timeout.C:
 	case <-ctx.Done():
 	}
 }
@@ -214,13 +214,13 @@
 		return nil, err
 	}
 	switch {
-	case since == sinceNothing:
+	case since == noVersion:
 		d.counts.wholeLists++
 		d.counts.wholeBytes += int64(len(body))
-	case since < d.rev:
+	case since < d.version:
 		d.counts.changes++
-		d.counts.lines += int(d.rev - since)
-		d.counts.newsBytes += int64(len(body))
+		d.counts.changedEntries += int(d.version - since)
+		d.counts.changeBytes += int64(len(body))
 	default:
 		d.counts.unchanged++
 	}
@@ -229,28 +229,28 @@
 
 // encode gives the text of what is newer than a version, which is made once for all nodes.
 func (d *discoveryService) encode(since int64) ([]byte, error) {
-	if body, known := d.answers[since]; known {
+	if body, known := d.encodedAnswers[since]; known {
 		return body, nil
 	}
 	body, err := json.Marshal(d.listSince(since))
 	if err != nil {
 		return nil, fmt.Errorf("discovery's answer: %w", err)
 	}
-	d.answers[since] = body
+	d.encodedAnswers[since] = body
 	return body, nil
 }
 
-func (d *discoveryService) listSince(since int64) hostList {
-	if since == sinceNothing {
+func (d *discoveryService) listSince(since int64) listMessage {
+	if since == noVersion {
 		return d.wholeList()
 	}
-	return hostList{Rev: d.rev, Targets: d.revised[since-firstRev:]}
+	return listMessage{Version: d.version, Entries: d.changeLog[since-firstVersion:]}
 }
 
-func (d *discoveryService) wholeList() hostList {
-	whole := hostList{Rev: d.rev, All: true, Targets: make([]target, 0, len(d.targets))}
-	for _, line := range d.targets {
-		whole.Targets = append(whole.Targets, line)
+func (d *discoveryService) wholeList() listMessage {
+	whole := listMessage{Version: d.version, IsWhole: true, Entries: make([]listEntry, 0, len(d.entries))}
+	for _, entry := range d.entries {
+		whole.Entries = append(whole.Entries, entry)
 	}
 	return whole
 }
--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -32,7 +32,7 @@
 
 // Guards the node against an end by an error of accept that passes: its connections and all that it
 // had taken were lost with it.
-func TestNodeOutlivesErrorsOfAccept(t *testing.T) {
+func TestNodeSurvivesAcceptErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET,
@@ -45,7 +45,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			n := startNodeOn(t, &failingListener{Listener: l, err: errno}, newRegistry(t, listed(s, "s1")), Reloads{})
+			n := startNodeOn(t, &failingListener{Listener: l, err: errno}, newRegistry(t, listed(s, "s1")), ConfigReloader{})
 			n.awaitUp(t)
 			for range 3 { // each on a connection of its own
 				r := clientRequest(t, n.addr, "read", "2.5")
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := startNodeOn(t, &failingListener{Listener: l, err: syscall.EINVAL}, newRegistry(t), Reloads{})
+	n := startNodeOn(t, &failingListener{Listener: l, err: syscall.EINVAL}, newRegistry(t), ConfigReloader{})
 	select {
 	case <-n.ended:
 		if !errors.Is(n.err, syscall.EINVAL) {
@@ -91,7 +91,7 @@
 		return len(b), nil
 	}), nil))
 	go func() { <-tried; before.Close() }()
-	l, err := listen(t.Context(), before.Addr().String(), log)
+	l, err := listenWithRetry(t.Context(), before.Addr().String(), log)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,12 +105,12 @@
 // failingDialer fails so many times with an error and then dials.
 func failingDialer(failures int64, errno syscall.Errno) dialer {
 	var calls atomic.Int64
-	real := dialTCP(patience)
+	dial := tcpDialer(patience)
 	return func(ctx context.Context, addr string) (net.Conn, error) {
 		if calls.Add(1) <= failures {
 			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
 		}
-		return real(ctx, addr)
+		return dial(ctx, addr)
 	}
 }
 
@@ -123,10 +123,10 @@
 		want     policy.Status
 	}{
 		{syscall.EADDRNOTAVAIL, 1, policy.OK},
-		{syscall.ENETUNREACH, dialRetries, policy.OK},
+		{syscall.ENETUNREACH, maxDialRetries, policy.OK},
 		{syscall.EMFILE, 1, policy.OK},
 		{syscall.ECONNABORTED, 1, policy.OK},
-		{syscall.ENOSPC, dialRetries, policy.OK},
+		{syscall.ENOSPC, maxDialRetries, policy.OK},
 		{syscall.ENOBUFS, 1 << 30, policy.NotSent},
 		{syscall.EADDRNOTAVAIL, 1 << 30, policy.NotSent},
 		{syscall.ENETUNREACH, 1 << 30, policy.NotSent},
--- a/internal/node/fleet_scale_test.go
+++ b/internal/node/fleet_scale_test.go
@@ -27,34 +27,34 @@
 )
 
 const (
-	fleetServers = 200
-	shortMustAsk = 2 * time.Second  // nodes that start spread their first calls over 7/8 of it
-	siteMustAsk  = 10 * time.Second // as deployments have it
+	fleetServers         = 200
+	shortMaxCallInterval = 2 * time.Second  // nodes that start spread their first calls over 7/8 of it
+	siteMaxCallInterval  = 10 * time.Second // as deployments have it
 
-	shortestWatch = 500 * time.Millisecond // that the module asks for
+	minWatch = 500 * time.Millisecond // that the module asks for
 )
 
 // nextChange gives the lines of a fleet that lives: a server drains, leaves and is followed by a
 // new one, over and over.
-func nextChange(n int) target {
-	line := fleetTarget(n / 3 % fleetServers)
+func nextChange(n int) listEntry {
+	entry := fleetEntry(n / 3 % fleetServers)
 	switch n % 3 {
 	case 0:
-		line.State = "terminating"
+		entry.State = "terminating"
 	case 1:
-		line.State = "terminated"
+		entry.State = "terminated"
 	case 2:
-		line = fleetTarget(fleetServers + n/3)
+		entry = fleetEntry(fleetServers + n/3)
 	}
-	return line
+	return entry
 }
 
 // requireSameServers checks that each node knows what discovery lists.
-func (f *hollowFleet) requireSameServers() {
+func (f *headlessFleet) requireSameServers() {
 	f.tb.Helper()
 	want := map[policy.ServerID]string{}
-	for _, line := range f.service.list().Targets {
-		want[serverID(line.UID)] = line.Endpoint
+	for _, entry := range f.service.list().Entries {
+		want[serverID(entry.UID)] = entry.Endpoint
 	}
 	for i, n := range f.nodes {
 		if got := n.endpoints(); !maps.Equal(got, want) {
@@ -66,45 +66,45 @@
 // requireFewCalls checks that no node called more often than it had to: a call ends with a whole
 // list, once in a life at most, with changes, at the end of a watch's time, or in failure, and the
 // last one of a life is broken off.
-func (f *hollowFleet) requireFewCalls(lives, changes int, elapsed time.Duration) {
+func (f *headlessFleet) requireFewCalls(starts, changes int, elapsed time.Duration) {
 	f.tb.Helper()
-	watches := int(elapsed / shortestWatch)
+	watches := int(elapsed / minWatch)
 	for i, n := range f.nodes {
-		due := 2*lives + changes + watches + int(n.calls.failed.Load()+n.calls.beside.Load())
-		if made := int(n.calls.made.Load()); made > due {
-			f.tb.Errorf("node %d made %d calls, %d at most are due", i, made, due)
+		maxCalls := 2*starts + changes + watches + int(n.calls.failed.Load()+n.calls.overlapping.Load())
+		if calls := int(n.calls.made.Load()); calls > maxCalls {
+			f.tb.Errorf("node %d made %d calls, %d at most are due", i, calls, maxCalls)
 		}
 	}
 }
 
 // steadyChanges has a fleet take changes one after the other and gives the bytes that one brings to
 // a node.
-func steadyChanges(t *testing.T, nodes, changes int) (bytesEach float64) {
+func runSteadyChanges(t *testing.T, nodes, changes int) (bytesEach float64) {
 	t.Helper()
 	begin := time.Now()
-	service := newDiscoveryService(t, workCosts{call: 100 * time.Microsecond, patience: time.Second}, fleetTargets(fleetServers))
-	fleet := newHollowFleet(t, nodes, shortMustAsk, service)
+	service := newDiscoveryService(t, serviceCosts{perCall: 100 * time.Microsecond, queueTimeout: time.Second}, fleetEntries(fleetServers))
+	fleet := newHeadlessFleet(t, nodes, shortMaxCallInterval, service)
 	fleet.start(service.list())
 	for n := range changes {
-		fleet.await(fleet.change(nextChange(n)))
+		fleet.awaitVersion(fleet.change(nextChange(n)))
 	}
 	fleet.requireSameServers()
 	fleet.requireFewCalls(1, changes, time.Since(begin))
-	counts := service.counted()
+	counts := service.countsSoFar()
 	if counts.wholeLists > 0 {
 		t.Errorf("%d whole lists went to nodes that knew a version", counts.wholeLists)
 	}
-	if told := fleet.spread.toNode.TotalCount(); told != int64(nodes*changes) {
-		t.Errorf("%d changes reached %d nodes %d times", changes, nodes, told)
+	if deliveries := fleet.propagation.changeToNode.TotalCount(); deliveries != int64(nodes*changes) {
+		t.Errorf("%d changes reached %d nodes %d times", changes, nodes, deliveries)
 	}
-	return float64(counts.newsBytes) / float64(counts.lines)
+	return float64(counts.changeBytes) / float64(counts.changedEntries)
 }
 
 // What a change costs on the way to a node does not depend on how many nodes there are, and every
 // node gets every change.
 func TestScaleChangeReachesEveryNodeAtTheSamePrice(t *testing.T) {
 	const few, many, changes = 25, 150, 9
-	small, large := steadyChanges(t, few, changes), steadyChanges(t, many, changes)
+	small, large := runSteadyChanges(t, few, changes), runSteadyChanges(t, many, changes)
 	if large > 1.25*small {
 		t.Errorf("a change brings %.0f B to each of %d nodes, %.0f B to each of %d", small, few, large, many)
 	}
@@ -115,54 +115,54 @@
 func TestScaleRestartedNodesCatchUp(t *testing.T) {
 	const nodes, changesBefore, changesDuring = 150, 3, 12
 	begin := time.Now()
-	service := newDiscoveryService(t, workCosts{
-		call: 100 * time.Microsecond, line: 2 * time.Microsecond, patience: time.Second,
-	}, fleetTargets(fleetServers))
-	fleet := newHollowFleet(t, nodes, shortMustAsk, service)
+	service := newDiscoveryService(t, serviceCosts{
+		perCall: 100 * time.Microsecond, perEntry: 2 * time.Microsecond, queueTimeout: time.Second,
+	}, fleetEntries(fleetServers))
+	fleet := newHeadlessFleet(t, nodes, shortMaxCallInterval, service)
 	fleet.start(service.list())
 	var rev int64
 	for n := range changesBefore {
 		rev = fleet.change(nextChange(n))
-		fleet.await(rev)
+		fleet.awaitVersion(rev)
 	}
-	restarted, unknown := fleet.each(10), 0
+	restarted, unknown := fleet.everyNth(10), 0
 	for n := range changesDuring {
 		rev = fleet.change(nextChange(changesBefore + n))
 		if n != changesDuring/2 {
 			continue
 		}
-		fleet.restart(restarted, func(node int) hostList {
+		fleet.restart(restarted, func(node int) listMessage {
 			if node%20 == 0 {
 				unknown++
-				return hostList{}
+				return listMessage{}
 			}
 			return service.list()
 		})
 	}
-	fleet.await(rev)
+	fleet.awaitVersion(rev)
 	fleet.requireSameServers()
 	fleet.requireFewCalls(2, changesBefore+changesDuring, time.Since(begin))
-	lists := service.counted().wholeLists
+	lists := service.countsSoFar().wholeLists
 	failed, _ := fleet.failedCalls()
 	if lists < unknown || lists > unknown+failed {
 		t.Errorf("%d whole lists for %d nodes that knew no version; %d calls failed", lists, unknown, failed)
 	}
-	if told := fleet.spread.toLast.TotalCount(); told != changesBefore+changesDuring {
-		t.Errorf("%d of %d changes reached every node", told, changesBefore+changesDuring)
+	if completed := fleet.propagation.changeToLastNode.TotalCount(); completed != changesBefore+changesDuring {
+		t.Errorf("%d of %d changes reached every node", completed, changesBefore+changesDuring)
 	}
 }
 
 // A fleet that starts with no list gets one for each node, without asking again and again.
 func TestScaleFleetWithNoListGetsItOnce(t *testing.T) {
 	const nodes = 150
-	service := newDiscoveryService(t, workCosts{
-		call: 100 * time.Microsecond, line: 10 * time.Microsecond, patience: time.Second,
-	}, fleetTargets(fleetServers))
-	fleet := newHollowFleet(t, nodes, shortMustAsk, service)
-	fleet.start(hostList{})
-	fleet.await(firstRev)
+	service := newDiscoveryService(t, serviceCosts{
+		perCall: 100 * time.Microsecond, perEntry: 10 * time.Microsecond, queueTimeout: time.Second,
+	}, fleetEntries(fleetServers))
+	fleet := newHeadlessFleet(t, nodes, shortMaxCallInterval, service)
+	fleet.start(listMessage{})
+	fleet.awaitVersion(firstVersion)
 	fleet.requireSameServers()
-	lists := service.counted().wholeLists
+	lists := service.countsSoFar().wholeLists
 	if failed, _ := fleet.failedCalls(); lists > nodes+failed {
 		t.Errorf("%d whole lists for %d nodes; %d calls failed", lists, nodes, failed)
 	}
@@ -171,22 +171,22 @@
 // measuredCall is what a call from a known version took the discovery of a day with 300 nodes and 167
 // servers, and measuredPatience how long one waited there before it failed.
 const (
-	measuredCall     = 10400 * time.Microsecond
-	measuredPatience = time.Second
+	loadedCallCost     = 10400 * time.Microsecond
+	loadedQueueTimeout = time.Second
 )
 
 // startTogether starts some nodes of a fleet at once, which know the list as it was before a change,
 // and waits until each was told of it.
-func startTogether(tb testing.TB, size, started int) *hollowFleet {
+func startTogether(tb testing.TB, size, started int) *headlessFleet {
 	tb.Helper()
-	costs := workCosts{call: measuredCall, patience: measuredPatience, watchesGoOn: true}
-	service := newDiscoveryService(tb, costs, fleetTargets(fleetServers))
-	fleet := newHollowFleet(tb, started, siteMustAsk, service)
-	fleet.site = fleetSite(tb, size, siteMustAsk)
+	costs := serviceCosts{perCall: loadedCallCost, queueTimeout: loadedQueueTimeout, freeContinuedWatches: true}
+	service := newDiscoveryService(tb, costs, fleetEntries(fleetServers))
+	fleet := newHeadlessFleet(tb, started, siteMaxCallInterval, service)
+	fleet.site = fleetSite(tb, size, siteMaxCallInterval)
 	known := service.list()
 	rev := fleet.change(nextChange(0))
 	fleet.start(known)
-	fleet.await(rev)
+	fleet.awaitVersion(rev)
 	return fleet
 }
 
@@ -196,7 +196,7 @@
 		t.Run(fmt.Sprint(started), func(t *testing.T) {
 			t.Parallel()
 			fleet := startTogether(t, 300, started)
-			told := fleet.spread.afterStart
+			told := fleet.propagation.startToCurrent
 			t.Logf("%d nodes are told after %v at the median, %v at the 90th percentile, %v at most", started,
 				microseconds(told.ValueAtQuantile(50)), microseconds(told.ValueAtQuantile(90)), microseconds(told.Max()))
 			if late := microseconds(told.ValueAtQuantile(90)); late > 10*time.Second {
@@ -221,7 +221,7 @@
 			for b.Loop() {
 				fleet := startTogether(b, c.size, c.started)
 				fleet.stop()
-				reportQuantiles(b, "told", fleet.spread.afterStart)
+				reportQuantiles(b, "told", fleet.propagation.startToCurrent)
 				failed, _ := fleet.failedCalls()
 				b.ReportMetric(float64(failed)/float64(c.started), "failed/node")
 			}
@@ -248,7 +248,7 @@
 const changesGap = 200 * time.Millisecond
 
 // benchmarkCosts are a guess at discovery's: what its work takes is told nowhere.
-var benchmarkCosts = workCosts{call: time.Millisecond, line: 5 * time.Microsecond, patience: time.Second}
+var benchmarkCosts = serviceCosts{perCall: time.Millisecond, perEntry: 5 * time.Microsecond, queueTimeout: time.Second}
 
 func reportQuantiles(b *testing.B, name string, times *hdrhistogram.Histogram) {
 	for _, quantile := range []float64{50, 90, 99} {
@@ -258,7 +258,7 @@
 }
 
 // processTime is the processor time of the whole process.
-func processTime(b *testing.B) time.Duration {
+func processCPUTime(b *testing.B) time.Duration {
 	b.Helper()
 	var used unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_PROCESS_CPUTIME_ID, &used); err != nil {
@@ -270,14 +270,14 @@
 // startRegion starts a fleet whose nodes know no list, as a region that has lost all its processes,
 // and waits until each has one. The returned function reports what that took; metrics that
 // are reported before a benchmark's loop are lost.
-func startRegion(b *testing.B, nodes int) (started *hollowFleet, report func()) {
+func startRegion(b *testing.B, nodes int) (started *headlessFleet, report func()) {
 	b.Helper()
-	service := newDiscoveryService(b, benchmarkCosts, fleetTargets(fleetServers))
-	fleet := newHollowFleet(b, nodes, siteMustAsk, service)
+	service := newDiscoveryService(b, benchmarkCosts, fleetEntries(fleetServers))
+	fleet := newHeadlessFleet(b, nodes, siteMaxCallInterval, service)
 	begin := time.Now()
-	fleet.start(hostList{})
-	fleet.await(firstRev)
-	took, counts := time.Since(begin), service.counted()
+	fleet.start(listMessage{})
+	fleet.awaitVersion(firstVersion)
+	took, counts := time.Since(begin), service.countsSoFar()
 	return fleet, func() {
 		b.ReportMetric(took.Seconds(), "start-s")
 		b.ReportMetric(float64(counts.wholeLists)/float64(nodes), "start-lists/node")
@@ -288,12 +288,12 @@
 
 // playChanges makes a change in each iteration and reports how they spread; during is called
 // in each iteration.
-func playChanges(b *testing.B, nodes int, during func(fleet *hollowFleet, iteration int)) {
+func runChanges(b *testing.B, nodes int, during func(fleet *headlessFleet, iteration int)) {
 	fleet, reportStart := startRegion(b, nodes)
-	before := fleet.service.counted()
+	before := fleet.service.countsSoFar()
 	failedBefore, besideBefore := fleet.failedCalls()
-	traffic := fleet.service.traffic.toNodes.Load()
-	back, used, begin := fleet.service.traffic.fromNodes.Load(), processTime(b), time.Now()
+	toNodesBefore := fleet.service.traffic.toNodes.Load()
+	fromNodesBefore, cpuBefore, begin := fleet.service.traffic.fromNodes.Load(), processCPUTime(b), time.Now()
 	random := rand.New(rand.NewPCG(1, 1))
 	gap := time.NewTimer(0)
 	defer gap.Stop()
@@ -306,23 +306,23 @@
 		changes++
 		gap.Reset(time.Duration(random.ExpFloat64() * float64(changesGap)))
 	}
-	fleet.await(rev)
-	elapsed, counts := time.Since(begin).Seconds(), fleet.service.counted()
+	fleet.awaitVersion(rev)
+	elapsed, counts := time.Since(begin).Seconds(), fleet.service.countsSoFar()
 	fleet.requireSameServers()
 	each := float64(nodes)
 	reportStart()
-	reportQuantiles(b, "node", fleet.spread.toNode)
-	reportQuantiles(b, "last", fleet.spread.toLast)
+	reportQuantiles(b, "node", fleet.propagation.changeToNode)
+	reportQuantiles(b, "last", fleet.propagation.changeToLastNode)
 	b.ReportMetric(float64(counts.calls-before.calls)/each/elapsed, "calls/node/s")
 	failed, beside := fleet.failedCalls()
 	b.ReportMetric(float64(failed-failedBefore), "failed-calls")
 	b.ReportMetric(float64(beside-besideBefore), "calls-beside")
-	b.ReportMetric(float64(counts.newsBytes)/float64(max(1, counts.lines)), "B/line")
-	b.ReportMetric(float64(fleet.service.traffic.toNodes.Load()-traffic)/each/elapsed, "B-to/node/s")
-	b.ReportMetric(float64(fleet.service.traffic.fromNodes.Load()-back)/each/elapsed, "B-from/node/s")
-	b.ReportMetric(100*(processTime(b)-used).Seconds()/each/elapsed, "%core/node")
-	if fleet.spread.afterStart.TotalCount() > 0 {
-		reportQuantiles(b, "restarted", fleet.spread.afterStart)
+	b.ReportMetric(float64(counts.changeBytes)/float64(max(1, counts.changedEntries)), "B/line")
+	b.ReportMetric(float64(fleet.service.traffic.toNodes.Load()-toNodesBefore)/each/elapsed, "B-to/node/s")
+	b.ReportMetric(float64(fleet.service.traffic.fromNodes.Load()-fromNodesBefore)/each/elapsed, "B-from/node/s")
+	b.ReportMetric(100*(processCPUTime(b)-cpuBefore).Seconds()/each/elapsed, "%core/node")
+	if fleet.propagation.startToCurrent.TotalCount() > 0 {
+		reportQuantiles(b, "restarted", fleet.propagation.startToCurrent)
 	}
 }
 
@@ -331,7 +331,7 @@
 func BenchmarkScaleFleet(b *testing.B) {
 	for _, nodes := range fleetSizes(b) {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
-			playChanges(b, nodes, func(*hollowFleet, int) {})
+			runChanges(b, nodes, func(*headlessFleet, int) {})
 		})
 	}
 }
@@ -342,10 +342,10 @@
 	const every = 10 // changes between restarts
 	for _, nodes := range fleetSizes(b) {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
-			playChanges(b, nodes, func(fleet *hollowFleet, iteration int) {
+			runChanges(b, nodes, func(fleet *headlessFleet, iteration int) {
 				if iteration%every == every/2 {
 					known := fleet.service.list()
-					fleet.restart(fleet.each(10), func(int) hostList { return known })
+					fleet.restart(fleet.everyNth(10), func(int) listMessage { return known })
 				}
 			})
 		})
--- a/internal/node/gate.go
+++ b/internal/node/gate.go
@@ -9,60 +9,60 @@
 // sendGate keeps attempts from beginning at servers that discovery has just taken out of service, from the
 // moment at which the node has read so until the module has withdrawn them. It is safe for concurrent use.
 type sendGate struct {
-	mu     sync.Mutex
-	closed map[policy.ServerID]int          // messages under way that take a server out,
-	whole  map[int]map[policy.ServerID]bool // and the servers that whole lists under way name
-	last   int                              // number of a whole list
+	mu         sync.Mutex
+	takenOut   map[policy.ServerID]int          // messages under way that take a server out,
+	wholeLists map[int]map[policy.ServerID]bool // and the servers that whole lists under way name
+	lastListID int                              // number of a whole list
 }
 
 func newSendGate() *sendGate {
-	return &sendGate{closed: map[policy.ServerID]int{}, whole: map[int]map[policy.ServerID]bool{}}
+	return &sendGate{takenOut: map[policy.ServerID]int{}, wholeLists: map[int]map[policy.ServerID]bool{}}
 }
 
 // shut closes the gate to servers that lines take out of service, until the function is called that it gives.
 // Lines that name all servers take out those that they do not name.
-func (g *sendGate) shut(lines []policy.Entry, nameAll bool) (reopen func()) {
+func (g *sendGate) closeFor(entries []policy.Entry, namesAll bool) (reopen func()) {
 	var named map[policy.ServerID]bool
-	if nameAll {
-		named = make(map[policy.ServerID]bool, len(lines))
-		for _, line := range lines {
-			named[line.Server] = true
+	if namesAll {
+		named = make(map[policy.ServerID]bool, len(entries))
+		for _, entry := range entries {
+			named[entry.Server] = true
 		}
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, line := range lines {
-		if line.State != policy.StateInService {
-			g.closed[line.Server]++
+	for _, entry := range entries {
+		if entry.State != policy.StateInService {
+			g.takenOut[entry.Server]++
 		}
 	}
-	if !nameAll {
-		return func() { g.reopen(lines) }
+	if !namesAll {
+		return func() { g.reopen(entries) }
 	}
-	g.last++
-	list := g.last
-	g.whole[list] = named
-	return func() { g.reopenWhole(list, lines) }
+	g.lastListID++
+	listID := g.lastListID
+	g.wholeLists[listID] = named
+	return func() { g.reopenWholeList(listID, entries) }
 }
 
 // reopenWhole ends what shut began for lines that name all servers.
-func (g *sendGate) reopenWhole(list int, lines []policy.Entry) {
-	g.reopen(lines)
+func (g *sendGate) reopenWholeList(listID int, entries []policy.Entry) {
+	g.reopen(entries)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	delete(g.whole, list)
+	delete(g.wholeLists, listID)
 }
 
 // reopen ends what shut began for the servers that lines take out of service.
-func (g *sendGate) reopen(lines []policy.Entry) {
+func (g *sendGate) reopen(entries []policy.Entry) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, line := range lines {
-		if line.State == policy.StateInService {
+	for _, entry := range entries {
+		if entry.State == policy.StateInService {
 			continue
 		}
-		if g.closed[line.Server]--; g.closed[line.Server] == 0 {
-			delete(g.closed, line.Server)
+		if g.takenOut[entry.Server]--; g.takenOut[entry.Server] == 0 {
+			delete(g.takenOut, entry.Server)
 		}
 	}
 }
@@ -71,10 +71,10 @@
 func (g *sendGate) admits(server policy.ServerID) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, named := range g.whole {
+	for _, named := range g.wholeLists {
 		if !named[server] {
 			return false
 		}
 	}
-	return g.closed[server] == 0
+	return g.takenOut[server] == 0
 }
--- a/internal/node/gate_test.go
+++ b/internal/node/gate_test.go
@@ -21,8 +21,8 @@
 		a := attempt{clock: newClock(), gate: gate, request: &request{}, server: server}
 		return a.begin()
 	}
-	lines := []policy.Entry{{Server: 1, State: policy.StateDraining}, {Server: 2, State: policy.StateInService}, {Server: 3, State: policy.StateGone}}
-	first, second := gate.shut(lines, false), gate.shut(lines[:1], false)
+	entries := []policy.Entry{{Server: 1, State: policy.StateDraining}, {Server: 2, State: policy.StateInService}, {Server: 3, State: policy.StateGone}}
+	first, second := gate.closeFor(entries, false), gate.closeFor(entries[:1], false)
 	if begins(1) || begins(3) || !begins(2) || !begins(4) {
 		t.Error("attempts begin at servers that are being taken out, or not at others")
 	}
@@ -30,19 +30,19 @@
 	if begins(1) || !begins(3) {
 		t.Error("the gate opens before the last message about a server is through, or not behind it")
 	}
-	if second(); !begins(1) || len(gate.closed) > 0 {
-		t.Errorf("the gate stays shut: %v", gate.closed)
+	if second(); !begins(1) || len(gate.takenOut) > 0 {
+		t.Errorf("the gate stays shut: %v", gate.takenOut)
 	}
 }
 
 // Guards rule 3 while the node is busy with other news: nothing begins at a server from the moment on at which an
 // answer was read that takes it out of service, by a line or by a whole list that does not name it.
 func TestNoAttemptBeginsOnceAnAnswerWasReadHoweverBusyTheNodeIs(t *testing.T) {
-	const left = "s1"
+	const removed = "s1"
 	for name, text := range map[string]string{
-		"a line":              `{"rev":42,"all":false,"targets":[` + lineOf(left, "terminating") + `]}`,
-		"a line of a part":    `{"rev":42,"all":false,"targets":[` + lineOf(left, "terminated"),
-		"a whole list":        `{"rev":42,"all":true,"targets":[` + lineOf("s2", "in_service") + `]}`,
+		"a line":              `{"rev":42,"all":false,"targets":[` + entryText(removed, "terminating") + `]}`,
+		"a line of a part":    `{"rev":42,"all":false,"targets":[` + entryText(removed, "terminated"),
+		"a whole list":        `{"rev":42,"all":true,"targets":[` + entryText("s2", "in_service") + `]}`,
 		"an empty whole list": `{"rev":42,"all":true,"targets":[]}`,
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -50,16 +50,16 @@
 				io.WriteString(w, text)
 			}))
 			defer service.Close()
-			d := newDiscovery(service.Listener.Addr().String(), siteOf(t, settings), newClock(), slog.New(slog.DiscardHandler))
-			d.listed, d.rev = !strings.Contains(text, `"all":true`), 41
-			d.obey(t.Context(), callOrder{call: policy.Call{ID: 1}}) // nothing takes the reply
-			for end := time.Now().Add(time.Second); d.gate.admits(serverID(left)); time.Sleep(time.Millisecond) {
-				if time.Now().After(end) {
+			client := newDiscoveryClient(service.Listener.Addr().String(), siteOf(t, settings), newClock(), slog.New(slog.DiscardHandler))
+			client.hasVersion, client.version = !strings.Contains(text, `"all":true`), 41
+			client.execute(t.Context(), callCommand{call: policy.Call{ID: 1}}) // nothing takes the reply
+			for deadline := time.Now().Add(time.Second); client.gate.admits(serverID(removed)); time.Sleep(time.Millisecond) {
+				if time.Now().After(deadline) {
 					t.Fatal("the gate stays open")
 				}
 			}
-			reply := <-d.replies
-			if reply.reopen(); !d.gate.admits(serverID(left)) || !d.gate.admits(serverID("s3")) {
+			reply := <-client.replies
+			if reply.reopenGate(); !client.gate.admits(serverID(removed)) || !client.gate.admits(serverID("s3")) {
 				t.Error("the gate stays shut behind the answer")
 			}
 		})
@@ -75,11 +75,11 @@
 		"within the grace":     {250 * time.Millisecond, 0},
 		"later than the grace": {251 * time.Millisecond, 1},
 	} {
-		l := testLoop(t)
+		l := newTestLoop(t)
 		var text bytes.Buffer
 		l.log = newRequestLog(slog.New(slog.NewTextHandler(&text, nil)))
-		l.hear(policy.ListWhole, []policy.Entry{{Server: 1, State: policy.StateInService}}, []string{"one"})
-		l.hear(policy.ListChanges, []policy.Entry{{Server: 1, State: policy.StateDraining}}, []string{"one"})
+		l.applyNewerUpdate(policy.ListWhole, []policy.Entry{{Server: 1, State: policy.StateInService}}, []string{"one"})
+		l.applyNewerUpdate(policy.ListChanges, []policy.Entry{{Server: 1, State: policy.StateDraining}}, []string{"one"})
 		a := &attempt{request: &request{id: 7, answered: true}, server: 1, cancel: func() {}}
 		a.begun.Store(int64(l.now + c.begun))
 		l.outcome(a, policy.OK, l.now)
@@ -91,19 +91,19 @@
 
 // The metrics tell of violations, unless the path is that of a class of requests.
 func TestMetricsTellOfViolations(t *testing.T) {
-	l := testLoop(t)
+	l := newTestLoop(t)
 	l.metrics.drainViolations.Add(3)
-	ask := func(classes ...string) string {
+	scrape := func(classes ...string) string {
 		f := newFront(l, wire.Site{Classes: classes}, newClients(8), 0, func() bool { return true })
 		w := httptest.NewRecorder()
 		f.ServeHTTP(w, httptest.NewRequest(http.MethodGet, metricsPath, nil))
 		return w.Body.String()
 	}
 	const want = "otterstep_drain_violations_total 3\n"
-	if got := ask("read"); !strings.Contains(got, want) {
+	if got := scrape("read"); !strings.Contains(got, want) {
 		t.Errorf("the metrics are %q, want %q in them", got, want)
 	}
-	if got := ask("metrics"); strings.Contains(got, want) {
+	if got := scrape("metrics"); strings.Contains(got, want) {
 		t.Errorf("a request of the class %q is answered with %q", "metrics", got)
 	}
 }
--- a/internal/node/list_scale_test.go
+++ b/internal/node/list_scale_test.go
@@ -17,19 +17,19 @@
 var scaleListSizes = []int{200, 1000, 5000, 20_000, targetServers}
 
 // scaleLoop gives a node's loop and a discovery client that hands lists to it at once.
-func scaleLoop(tb testing.TB, servers int) (*loop, *discovery) {
+func scaleLoop(tb testing.TB, servers int) (*loop, *discoveryClient) {
 	tb.Helper()
-	site := fleetSite(tb, max(1, servers*targetNodes/targetServers), siteMustAsk)
+	site := fleetSite(tb, max(1, servers*targetNodes/targetServers), siteMaxCallInterval)
 	c := newClock()
-	disco := newDiscovery("", site, c, slog.New(slog.DiscardHandler))
-	l, err := newLoop(site.Settings, 1, c, newUpstream(site.ConnIdle, site.ConnectTimeout, 0), disco.orders)
+	client := newDiscoveryClient("", site, c, slog.New(slog.DiscardHandler))
+	l, err := newLoop(site.Settings, 1, c, newUpstream(site.ConnIdle, site.ConnectTimeout, 0), client.commands)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	disco.members = func(news listNews) {
-		l.step(func() { l.members(news) })
+	client.onList = func(update listUpdate) {
+		l.step(func() { l.members(update) })
 	}
-	return l, disco
+	return l, client
 }
 
 // heapBytes is what is on the heap once garbage is collected.
@@ -42,17 +42,17 @@
 }
 
 // take reads a list's text and hands it on, as a call does with an answer's body.
-func take(tb testing.TB, disco *discovery, text []byte) {
+func acceptText(tb testing.TB, client *discoveryClient, text []byte) {
 	tb.Helper()
-	list, err := readList(bytes.NewReader(text), disco.zones, disco.clock)
+	list, err := readList(bytes.NewReader(text), client.zones, client.clock)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	disco.take(list)
+	client.accept(list)
 }
 
 // encodeMessage gives a whole list, or changes to one, as the text of discovery's message.
-func encodeMessage(tb testing.TB, list hostList) []byte {
+func encodeMessage(tb testing.TB, list listMessage) []byte {
 	tb.Helper()
 	text, err := json.Marshal(list)
 	if err != nil {
@@ -63,28 +63,28 @@
 
 // changeGarbage is how many bytes a node allocates for a change of one line, from its text to the
 // policy.
-func changeGarbage(t *testing.T, servers int) float64 {
+func allocatedBytesPerChange(t *testing.T, servers int) float64 {
 	t.Helper()
 	const changes = 16
-	_, disco := scaleLoop(t, servers)
-	take(t, disco, encodeMessage(t, hostList{Rev: firstRev, All: true, Targets: fleetTargets(servers)}))
-	line := fleetTarget(servers / 2)
-	line.State = "terminating"
-	text := encodeMessage(t, hostList{Rev: firstRev + 1, Targets: []target{line}})
-	take(t, disco, text)
+	_, client := scaleLoop(t, servers)
+	acceptText(t, client, encodeMessage(t, listMessage{Version: firstVersion, IsWhole: true, Entries: fleetEntries(servers)}))
+	entry := fleetEntry(servers / 2)
+	entry.State = "terminating"
+	text := encodeMessage(t, listMessage{Version: firstVersion + 1, Entries: []listEntry{entry}})
+	acceptText(t, client, text)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for range changes {
-		take(t, disco, text)
+		acceptText(t, client, text)
 	}
 	runtime.ReadMemStats(&after)
 	return float64(after.TotalAlloc-before.TotalAlloc) / changes
 }
 
 // A change of one line must not make a node copy what it knows of all servers.
-func TestScaleChangeOfOneLineMakesLittleGarbage(t *testing.T) {
+func TestScaleChangeOfOneEntryMakesLittleGarbage(t *testing.T) {
 	const few, many = 500, 8000
-	small, large := changeGarbage(t, few), changeGarbage(t, many)
+	small, large := allocatedBytesPerChange(t, few), allocatedBytesPerChange(t, many)
 	t.Logf("a change of one line allocates %.0f B before %d servers, %.0f B before %d", small, few, large, many)
 	if large > 2*small {
 		t.Errorf("a change of one line allocates %.0f B before %d servers, %.0f B before %d", small, few, large, many)
@@ -96,7 +96,7 @@
 func eachListSize(b *testing.B, run func(b *testing.B, servers int, text []byte)) {
 	for _, servers := range scaleListSizes {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			run(b, servers, encodeMessage(b, hostList{Rev: firstRev, All: true, Targets: fleetTargets(servers)}))
+			run(b, servers, encodeMessage(b, listMessage{Version: firstVersion, IsWhole: true, Entries: fleetEntries(servers)}))
 		})
 	}
 }
@@ -106,15 +106,15 @@
 func BenchmarkScaleNodeList(b *testing.B) {
 	eachListSize(b, func(b *testing.B, servers int, text []byte) {
 		before := heapBytes()
-		l, disco := scaleLoop(b, servers)
-		take(b, disco, text)
-		held := heapBytes() - before
+		l, client := scaleLoop(b, servers)
+		acceptText(b, client, text)
+		heldBytes := heapBytes() - before
 		b.ReportAllocs()
 		for b.Loop() {
-			take(b, disco, text)
+			acceptText(b, client, text)
 		}
 		b.ReportMetric(float64(len(text))/float64(servers), "wire-B/server")
-		b.ReportMetric(held/float64(servers), "heap-B/server")
+		b.ReportMetric(heldBytes/float64(servers), "heap-B/server")
 		runtime.KeepAlive(l)
 	})
 }
@@ -122,17 +122,17 @@
 // BenchmarkScaleNodeChange is a change of one line, from the text to the policy.
 func BenchmarkScaleNodeChange(b *testing.B) {
 	eachListSize(b, func(b *testing.B, servers int, text []byte) {
-		_, disco := scaleLoop(b, servers)
-		take(b, disco, text)
-		line := fleetTarget(servers / 2)
+		_, client := scaleLoop(b, servers)
+		acceptText(b, client, text)
+		entry := fleetEntry(servers / 2)
 		var changes [2][]byte
 		for i, state := range []string{"terminating", "in_service"} {
-			line.State = state
-			changes[i] = encodeMessage(b, hostList{Rev: firstRev + 1, Targets: []target{line}})
+			entry.State = state
+			changes[i] = encodeMessage(b, listMessage{Version: firstVersion + 1, Entries: []listEntry{entry}})
 		}
 		b.ReportAllocs()
 		for i := 0; b.Loop(); i++ {
-			take(b, disco, changes[i%2])
+			acceptText(b, client, changes[i%2])
 		}
 		b.ReportMetric(float64(len(changes[0])), "wire-B")
 	})
--- a/internal/node/list_test.go
+++ b/internal/node/list_test.go
@@ -56,24 +56,24 @@
 }
 
 // wanted is what json.Unmarshal makes of a message.
-func wanted(text []byte, c clock) (list serverList, err error) {
-	var whole hostList
+func unmarshalList(text []byte, c clock) (list serverList, err error) {
+	var whole listMessage
 	if err := json.Unmarshal(text, &whole); err != nil {
 		return list, err
 	}
-	list.rev, list.all = whole.Rev, whole.All
-	for _, t := range whole.Targets {
-		list.add(t, testZones, c)
+	list.version, list.isWhole = whole.Version, whole.IsWhole
+	for _, entry := range whole.Entries {
+		list.add(entry, testZones, c)
 	}
 	return list, nil
 }
 
 // sameAsUnmarshal checks that reading line by line takes what json.Unmarshal takes, and
 // nothing else, however the text arrives.
-func sameAsUnmarshal(t *testing.T, text []byte) {
+func requireSameAsUnmarshal(t *testing.T, text []byte) {
 	t.Helper()
 	c := newClock()
-	want, wantErr := wanted(text, c)
+	want, wantErr := unmarshalList(text, c)
 	for name, body := range map[string]io.Reader{
 		"whole": bytes.NewReader(text), "in bytes": iotest.OneByteReader(bytes.NewReader(text)),
 		"with its end": iotest.DataErrReader(bytes.NewReader(text)),
@@ -89,10 +89,10 @@
 
 func TestListIsReadAsJSONUnmarshalReadsIt(t *testing.T) {
 	for _, text := range messages {
-		sameAsUnmarshal(t, []byte(text))
+		requireSameAsUnmarshal(t, []byte(text))
 		var indented bytes.Buffer
 		if len(text) < 4096 && json.Indent(&indented, []byte(text), " ", "\t") == nil {
-			sameAsUnmarshal(t, indented.Bytes())
+			requireSameAsUnmarshal(t, indented.Bytes())
 		}
 	}
 }
@@ -122,37 +122,37 @@
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if bytes.Count(bytes.ToLower(text), []byte("targets")) < 2 { // Unmarshal mixes the lines of two such fields
-			sameAsUnmarshal(t, text)
+			requireSameAsUnmarshal(t, text)
 		}
 	})
 }
 
 // endless is a text that repeats for ever.
-type endless struct {
-	text string
-	next int
+type repeatingReader struct {
+	text   string
+	offset int
 }
 
-func (e *endless) Read(p []byte) (n int, err error) {
+func (e *repeatingReader) Read(p []byte) (n int, err error) {
 	for n < len(p) {
-		k := copy(p[n:], e.text[e.next:])
-		n, e.next = n+k, (e.next+k)%len(e.text)
+		k := copy(p[n:], e.text[e.offset:])
+		n, e.offset = n+k, (e.offset+k)%len(e.text)
 	}
 	return n, nil
 }
 
 func TestListIsBounded(t *testing.T) {
 	after := func(start, repeated string) io.Reader {
-		return io.MultiReader(strings.NewReader(start), &endless{text: repeated})
+		return io.MultiReader(strings.NewReader(start), &repeatingReader{text: repeated})
 	}
 	for name, c := range map[string]struct {
 		body io.Reader
 		want listTooLargeError
 	}{
 		"servers":      {after(`{"targets":[{}`, ",{}"), listTooLargeError{maxListServers, "servers"}},
-		"a long value": {after(`{"targets":[{"uid":"`, "x"), listTooLargeError{maxListValue, "bytes in one value"}},
-		"a long gap":   {after(`{"targets":[`, " "), listTooLargeError{maxListValue, "bytes in one value"}},
-		"a long end":   {after(`{}`, "\n"), listTooLargeError{maxListValue, "bytes in one value"}},
+		"a long value": {after(`{"targets":[{"uid":"`, "x"), listTooLargeError{maxListValueBytes, "bytes in one value"}},
+		"a long gap":   {after(`{"targets":[`, " "), listTooLargeError{maxListValueBytes, "bytes in one value"}},
+		"a long end":   {after(`{}`, "\n"), listTooLargeError{maxListValueBytes, "bytes in one value"}},
 		"nesting":      {after(`{"more":`, "["), listTooLargeError{maxListDepth, "levels of nesting"}},
 	} {
 		list, err := readList(c.body, testZones, newClock())
@@ -161,7 +161,7 @@
 			t.Errorf("%s: error %v with %d servers, want %v", name, err, len(list.entries), &c.want)
 		}
 	}
-	text := boundedReader{in: &endless{text: "x"}, total: maxListBytes - 100}
+	text := boundedReader{source: &repeatingReader{text: "x"}, totalBytes: maxListBytes - 100}
 	if n, err := text.Read(make([]byte, 100)); n != 100 || err != nil {
 		t.Errorf("the last bytes within the bound: read %d, %v", n, err)
 	}
@@ -176,14 +176,14 @@
 	const servers = 55_000
 	text := listText(servers)
 	list, err := readList(bytes.NewReader(text), testZones, newClock())
-	if err != nil || len(list.entries) != servers || len(list.endpoints) != servers || !list.all || list.rev != 41 {
+	if err != nil || len(list.entries) != servers || len(list.endpoints) != servers || !list.isWhole || list.version != 41 {
 		t.Fatalf("read %d entries and %d endpoints, error %v", len(list.entries), len(list.endpoints), err)
 	}
 	if last := servers - 1; list.entries[last].Server != serverID(fmt.Sprintf("s-%08x", last)) || list.endpoints[last] != "127.0.214.215:8000" {
 		t.Errorf("the last server is %+v at %s", list.entries[last], list.endpoints[last])
 	}
-	if len(list.first) != linesKept {
-		t.Errorf("%d lines kept for the log, want %d", len(list.first), linesKept)
+	if len(list.firstEntries) != maxLoggedServers {
+		t.Errorf("%d lines kept for the log, want %d", len(list.firstEntries), maxLoggedServers)
 	}
 	if 2*len(text) > maxListBytes || 2*servers > maxListServers || math.MaxInt32 < maxListBytes {
 		t.Errorf("%d servers in %d bytes are too close to the bounds", servers, len(text))
@@ -195,20 +195,20 @@
 
 // Guards the log against a line for each server where very many change at once.
 func TestChangesOfManyServersAreLoggedInFewLines(t *testing.T) {
-	for servers, want := range map[int]int{1: 1, linesKept: linesKept, 5000: linesKept + 1} {
+	for servers, want := range map[int]int{1: 1, maxLoggedServers: maxLoggedServers, 5000: maxLoggedServers + 1} {
 		var text bytes.Buffer
-		d := newDiscovery("", siteOf(t, settings), newClock(), slog.New(slog.NewTextHandler(&text, nil)))
-		handed := 0
-		d.members = func(news listNews) { handed += len(news.entries) }
+		client := newDiscoveryClient("", siteOf(t, settings), newClock(), slog.New(slog.NewTextHandler(&text, nil)))
+		published := 0
+		client.onList = func(update listUpdate) { published += len(update.entries) }
 		list, err := readList(bytes.NewReader(bytes.Replace(listText(servers), []byte("true"), []byte("false"), 1)), testZones, newClock())
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.take(list)
-		if lines := bytes.Count(text.Bytes(), []byte("\n")); lines != want || handed != servers {
-			t.Errorf("%d changes: %d lines, %d handed on; want %d lines", servers, lines, handed, want)
+		client.accept(list)
+		if lines := bytes.Count(text.Bytes(), []byte("\n")); lines != want || published != servers {
+			t.Errorf("%d changes: %d lines, %d handed on; want %d lines", servers, lines, published, want)
 		}
-		if servers > linesKept && !strings.Contains(text.String(), fmt.Sprint("count=", servers-linesKept)) {
+		if servers > maxLoggedServers && !strings.Contains(text.String(), fmt.Sprint("count=", servers-maxLoggedServers)) {
 			t.Errorf("the log does not say how many more there are: %s", &text)
 		}
 	}
--- a/internal/node/lives_test.go
+++ b/internal/node/lives_test.go
@@ -18,7 +18,7 @@
 )
 
 // sentTo submits requests to a loop that nobody runs and tells the addresses that their first attempts go to.
-func sentTo(t *testing.T, l *loop) (addresses []string) {
+func firstAttemptAddrs(t *testing.T, l *loop) (addresses []string) {
 	t.Helper()
 	if l.lastID == 0 { // no attempt uses it yet
 		l.upstream.dialer = func(ctx context.Context, _ string) (net.Conn, error) {
@@ -26,11 +26,11 @@
 			return nil, ctx.Err()
 		}
 	}
-	var open []*request // together: what is in flight has each server get some
+	var requests []*request // together: what is in flight has each server get some
 	for range 8 {
-		open = append(open, submitRead(l))
+		requests = append(requests, submitRead(l))
 	}
-	for _, r := range open {
+	for _, r := range requests {
 		for _, a := range r.attempts {
 			addresses = append(addresses, l.servers[a.server].addr)
 		}
@@ -42,60 +42,60 @@
 
 // submitRead submits a request of a class that is safe to repeat.
 func submitRead(l *loop) (r *request) {
-	m := &message{method: http.MethodGet, uri: "/read", header: http.Header{}, deadline: l.now + time.Second}
-	m.header.Set("X-Correlation-Id", strconv.FormatInt(lastID.Add(1), 10))
-	l.step(func() { r = l.submit(policy.Request{}, m, make(chan answer, 1)) })
+	outgoing := &message{method: http.MethodGet, uri: "/read", header: http.Header{}, deadline: l.now + time.Second}
+	outgoing.header.Set("X-Correlation-Id", strconv.FormatInt(lastID.Add(1), 10))
+	l.step(func() { r = l.submit(policy.Request{}, outgoing, make(chan answer, 1)) })
 	return r
 }
 
 // lifeOf is a line of server 1 at one of its starts.
-func lifeOf(state policy.ServerState, started time.Duration) policy.Entry {
+func incarnationOf(state policy.ServerState, started time.Duration) policy.Entry {
 	return policy.Entry{Server: 1, State: state, StartedAt: started}
 }
 
 // heard is a list or changes of a source at a version.
-func heard(kind policy.ListKind, version int64, entries []policy.Entry, endpoints ...string) listNews {
-	return listNews{kind: kind, origin: policy.Origin{Source: 1, Version: version}, entries: entries, endpoints: endpoints}
+func updateAt(kind policy.ListKind, version int64, entries []policy.Entry, endpoints ...string) listUpdate {
+	return listUpdate{kind: kind, origin: policy.Origin{Source: 1, Version: version}, entries: entries, endpoints: endpoints}
 }
 
 // Guards rule 3: requests for a server go to the address of the life that the module has in service, never to
 // that of a former one.
-func TestRequestsGoToTheAddressOfTheLifeInService(t *testing.T) {
+func TestRequestsGoToTheAddressOfTheIncarnationInService(t *testing.T) {
 	const former, present = "127.0.0.1:1", "127.0.0.1:2"
-	begins := clockOrigin
+	startedAt := clockOrigin
 	for name, play := range map[string]func(l *loop){
 		"changes name the former life behind the new one": func(l *loop) {
-			l.members(heard(policy.ListChanges, 11, []policy.Entry{
-				lifeOf(policy.StateInService, begins), lifeOf(policy.StateDraining, begins-time.Hour)}, present, former))
+			l.members(updateAt(policy.ListChanges, 11, []policy.Entry{
+				incarnationOf(policy.StateInService, startedAt), incarnationOf(policy.StateDraining, startedAt-time.Hour)}, present, former))
 		},
 		"changes name the end of the former life behind the new one": func(l *loop) {
-			l.members(heard(policy.ListChanges, 11, []policy.Entry{
-				lifeOf(policy.StateInService, begins), lifeOf(policy.StateGone, begins-time.Hour)}, present, former))
+			l.members(updateAt(policy.ListChanges, 11, []policy.Entry{
+				incarnationOf(policy.StateInService, startedAt), incarnationOf(policy.StateGone, startedAt-time.Hour)}, present, former))
 		},
 		"a list of before, long after the new life": func(l *loop) {
-			l.members(heard(policy.ListChanges, 11, []policy.Entry{lifeOf(policy.StateInService, begins)}, present))
+			l.members(updateAt(policy.ListChanges, 11, []policy.Entry{incarnationOf(policy.StateInService, startedAt)}, present))
 			l.now += 2 * time.Minute
-			l.members(heard(policy.ListWhole, 10, []policy.Entry{lifeOf(policy.StateInService, begins-time.Hour)}, former))
+			l.members(updateAt(policy.ListWhole, 10, []policy.Entry{incarnationOf(policy.StateInService, startedAt-time.Hour)}, former))
 		},
 		"another address that lags and answers long after the reload": func(l *loop) {
-			l.members(heard(policy.ListChanges, 11, []policy.Entry{lifeOf(policy.StateInService, begins)}, present))
-			l.members(heard(policy.ListAddressChanged, 0, nil))
+			l.members(updateAt(policy.ListChanges, 11, []policy.Entry{incarnationOf(policy.StateInService, startedAt)}, present))
+			l.members(updateAt(policy.ListAddressChanged, 0, nil))
 			l.now += 2 * time.Minute
-			news := heard(policy.ListWhole, 10, []policy.Entry{lifeOf(policy.StateInService, begins-time.Hour)}, former)
-			news.origin.Source = 2
-			l.members(news)
+			update := updateAt(policy.ListWhole, 10, []policy.Entry{incarnationOf(policy.StateInService, startedAt-time.Hour)}, former)
+			update.origin.Source = 2
+			l.members(update)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := testLoop(t)
+			l := newTestLoop(t)
 			l.tick()
-			l.members(heard(policy.ListWhole, 10, []policy.Entry{lifeOf(policy.StateInService, begins-time.Hour)}, former))
+			l.members(updateAt(policy.ListWhole, 10, []policy.Entry{incarnationOf(policy.StateInService, startedAt-time.Hour)}, former))
 			play(l)
 			if _, listed := l.servers[1]; !listed {
 				t.Fatal("the server has no address, and the module may go on sending to it")
 			}
 			l.now += 2 * time.Minute // the server is warm
-			if to := sentTo(t, l); !slices.Equal(to, []string{present}) {
+			if to := firstAttemptAddrs(t, l); !slices.Equal(to, []string{present}) {
 				t.Errorf("requests go to %v, want the address of the life in service, %s", to, present)
 			}
 		})
@@ -103,33 +103,33 @@
 }
 
 // discoveryBefore is a discovery at version 41 with servers s1 and s2 in service, before a loop that nobody runs.
-func discoveryBefore(t *testing.T) (*discovery, *loop) {
+func clientAtVersion41(t *testing.T) (*discoveryClient, *loop) {
 	t.Helper()
-	l := testLoop(t)
+	l := newTestLoop(t)
 	l.tick()
-	d := newDiscovery("127.0.0.1:1", siteOf(t, settings), newClock(), slog.New(slog.DiscardHandler))
-	d.members = func(news listNews) { l.members(news) }
-	d.ended = func(policy.CallEnd) {}
-	d.take(listOf(t, `{"rev":41,"all":true,"targets":[`+lineOf("s1", "in_service")+","+lineOf("s2", "in_service")+`]}`))
-	return d, l
+	client := newDiscoveryClient("127.0.0.1:1", siteOf(t, settings), newClock(), slog.New(slog.DiscardHandler))
+	client.onList = func(update listUpdate) { l.members(update) }
+	client.onCallEnd = func(policy.CallEnd) {}
+	client.accept(parseList(t, `{"rev":41,"all":true,"targets":[`+entryText("s1", "in_service")+","+entryText("s2", "in_service")+`]}`))
+	return client, l
 }
 
 // lineOf is discovery's line of a server.
-func lineOf(uid, state string) string {
+func entryText(uid, state string) string {
 	return `{"uid":"` + uid + `","endpoint":"` + uid + `","az":"a","state":"` + state + `"}`
 }
 
 // callOut has a discovery make a call that never ends by itself.
-func callOut(d *discovery, id policy.CallID) *listCall {
+func addCallInFlight(client *discoveryClient, id policy.CallID) *listCall {
 	call := &listCall{
-		Call: policy.Call{ID: id}, source: d.source, since: d.rev, whole: !d.listed, epoch: d.epoch, began: time.Now(), end: func() {},
+		Call: policy.Call{ID: id}, source: client.source, since: client.version, wantsWhole: !client.hasVersion, epoch: client.epoch, startedAt: time.Now(), cancel: func() {},
 	}
-	d.out[id] = call
+	client.callsInFlight[id] = call
 	return call
 }
 
 // listOf reads a message.
-func listOf(t *testing.T, text string) serverList {
+func parseList(t *testing.T, text string) serverList {
 	t.Helper()
 	list, err := readList(strings.NewReader(text), testZones, newClock())
 	if err != nil {
@@ -140,37 +140,39 @@
 
 // Guards rule 3: what an answer takes out of service counts, whatever has become of its call meanwhile. What a whole
 // list does not name is gone.
-func TestWhatAnAnswerTakesOutCountsWhateverBecameOfItsCall(t *testing.T) {
+func TestOutOfServiceEntriesCountWhateverBecameOfTheirCall(t *testing.T) {
 	const leftOut = `{"rev":42,"all":true,"targets":[{"uid":"s2","endpoint":"s2","az":"a","state":"in_service"}]}`
-	drains := `{"rev":42,"all":false,"targets":[` + lineOf("s1", "terminating") + `]}`
-	anew := `{"rev":3,"all":true,"targets":[` + lineOf("s1", "terminating") + "," + lineOf("s2", "in_service") + `]}`
-	unchanged := serverList{rev: 41}
+	drains := `{"rev":42,"all":false,"targets":[` + entryText("s1", "terminating") + `]}`
+	restarted := `{"rev":3,"all":true,"targets":[` + entryText("s1", "terminating") + "," + entryText("s2", "in_service") + `]}`
+	unchanged := serverList{version: 41}
 	for _, text := range []string{drains, leftOut} {
-		for name, before := range map[string]func(d *discovery){
-			"it is out":                        func(*discovery) {},
-			"it was given up":                  func(d *discovery) { d.giveUp(1) },
-			"another address is named":         func(d *discovery) { d.settle("127.0.0.1:2") },
-			"another one was answered":         func(d *discovery) { d.replied(callReply{call: callOut(d, 2), list: unchanged}) },
-			"the version was lost in between":  func(d *discovery) { d.loseVersion() },
-			"and another call asks anew since": func(d *discovery) { d.loseVersion(); callOut(d, 2) },
+		for name, before := range map[string]func(client *discoveryClient){
+			"it is out":                func(*discoveryClient) {},
+			"it was given up":          func(client *discoveryClient) { client.abandon(1) },
+			"another address is named": func(client *discoveryClient) { client.changeAddr("127.0.0.1:2") },
+			"another one was answered": func(client *discoveryClient) {
+				client.applyReply(callReply{call: addCallInFlight(client, 2), list: unchanged})
+			},
+			"the version was lost in between":  func(client *discoveryClient) { client.discardVersion() },
+			"and another call asks anew since": func(client *discoveryClient) { client.discardVersion(); addCallInFlight(client, 2) },
 		} {
 			t.Run(name+" "+text[:30], func(t *testing.T) {
-				d, l := discoveryBefore(t)
-				call := callOut(d, 1)
-				before(d)
-				d.replied(callReply{call: call, list: listOf(t, text)})
-				if to := sentTo(t, l); slices.Contains(to, "s1") {
+				client, l := clientAtVersion41(t)
+				call := addCallInFlight(client, 1)
+				before(client)
+				client.applyReply(callReply{call: call, list: parseList(t, text)})
+				if to := firstAttemptAddrs(t, l); slices.Contains(to, "s1") {
 					t.Errorf("requests go to %v", to)
 				}
 			})
 		}
 	}
 	t.Run("versions that begin anew, on the call that is out beside an answered one", func(t *testing.T) {
-		d, l := discoveryBefore(t)
-		first, second := callOut(d, 1), callOut(d, 2)
-		d.replied(callReply{call: first, list: unchanged})
-		d.replied(callReply{call: second, list: listOf(t, anew)})
-		if to := sentTo(t, l); slices.Contains(to, "s1") {
+		client, l := clientAtVersion41(t)
+		first, second := addCallInFlight(client, 1), addCallInFlight(client, 2)
+		client.applyReply(callReply{call: first, list: unchanged})
+		client.applyReply(callReply{call: second, list: parseList(t, restarted)})
+		if to := firstAttemptAddrs(t, l); slices.Contains(to, "s1") {
 			t.Errorf("requests go to %v", to)
 		}
 	})
@@ -178,20 +180,20 @@
 
 // Guards rule 3: lines of an answer whose version has not come may be of any later one than was asked for, so that a
 // replica that lags, and is ahead of the version asked for, does not undo them.
-func TestLinesOfAnUnknownVersionAreNotUndoneByALaggingReplica(t *testing.T) {
+func TestEntriesOfAnUnknownVersionAreNotUndoneByALaggingReplica(t *testing.T) {
 	for name, next := range map[string]string{
 		"changes": `{"rev":43,"all":false,"targets":[]}`,
-		"a list":  `{"rev":43,"all":true,"targets":[` + lineOf("s1", "in_service") + "," + lineOf("s2", "in_service") + `]}`,
+		"a list":  `{"rev":43,"all":true,"targets":[` + entryText("s1", "in_service") + "," + entryText("s2", "in_service") + `]}`,
 	} {
 		t.Run(name, func(t *testing.T) {
-			d, l := discoveryBefore(t)
-			lines := listOf(t, `{"all":false,"targets":[`+lineOf("s1", "terminating")+`]}`) // of version 45, cut off ahead of it
-			d.replied(callReply{call: callOut(d, 1), list: lines, part: true, unversioned: true})
-			if to := sentTo(t, l); slices.Contains(to, "s1") {
+			client, l := clientAtVersion41(t)
+			found := parseList(t, `{"all":false,"targets":[`+entryText("s1", "terminating")+`]}`) // of version 45, cut off ahead of it
+			client.applyReply(callReply{call: addCallInFlight(client, 1), list: found, isPartial: true, versionUnknown: true})
+			if to := firstAttemptAddrs(t, l); slices.Contains(to, "s1") {
 				t.Fatalf("requests go to %v", to)
 			}
-			d.replied(callReply{call: callOut(d, 2), list: listOf(t, next)})
-			if to := sentTo(t, l); slices.Contains(to, "s1") {
+			client.applyReply(callReply{call: addCallInFlight(client, 2), list: parseList(t, next)})
+			if to := firstAttemptAddrs(t, l); slices.Contains(to, "s1") {
 				t.Errorf("after an answer of version 43 requests go to %v", to)
 			}
 		})
@@ -199,8 +201,8 @@
 }
 
 // The gate stays shut until attempts that wait for a connection are withdrawn.
-func TestGateOpensBehindTheWithdrawals(t *testing.T) {
-	l := testLoop(t)
+func TestGateOpensAfterUnsentAttemptsAreCancelled(t *testing.T) {
+	l := newTestLoop(t)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	handled := make(chan struct{})
@@ -223,20 +225,20 @@
 
 // Guards rule 3: an attempt that waits for its connection is withdrawn when its server has started anew elsewhere: the life
 // that it was meant for is gone.
-func TestLateConnectionToAFormerLifeGetsNothing(t *testing.T) {
+func TestLateConnectionToAFormerIncarnationGetsNothing(t *testing.T) {
 	for name, entries := range map[string]struct {
 		line policy.Entry
 		addr string
 	}{
-		"started anew at another address":   {lifeOf(policy.StateInService, clockOrigin), "127.0.0.1:2"},
-		"named at another address":          {lifeOf(policy.StateInService, 0), "127.0.0.1:2"},
-		"drains, for comparison":            {lifeOf(policy.StateDraining, 0), "127.0.0.1:1"},
-		"started anew at the same address ": {lifeOf(policy.StateDraining, clockOrigin), "127.0.0.1:1"},
+		"started anew at another address":   {incarnationOf(policy.StateInService, clockOrigin), "127.0.0.1:2"},
+		"named at another address":          {incarnationOf(policy.StateInService, 0), "127.0.0.1:2"},
+		"drains, for comparison":            {incarnationOf(policy.StateDraining, 0), "127.0.0.1:1"},
+		"started anew at the same address ": {incarnationOf(policy.StateDraining, clockOrigin), "127.0.0.1:1"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l := testLoop(t)
+			l := newTestLoop(t)
 			l.tick()
-			l.members(heard(policy.ListWhole, 10, []policy.Entry{lifeOf(policy.StateInService, 0)}, "127.0.0.1:1"))
+			l.members(updateAt(policy.ListWhole, 10, []policy.Entry{incarnationOf(policy.StateInService, 0)}, "127.0.0.1:1"))
 			wait := make(chan struct{})
 			defer close(wait)
 			l.upstream.dialer = func(context.Context, string) (net.Conn, error) { <-wait; return nil, errors.New("late") }
@@ -244,7 +246,7 @@
 			if len(r.attempts) != 1 {
 				t.Fatalf("%d attempts", len(r.attempts))
 			}
-			l.step(func() { l.members(heard(policy.ListChanges, 11, []policy.Entry{entries.line}, entries.addr)) })
+			l.step(func() { l.members(updateAt(policy.ListChanges, 11, []policy.Entry{entries.line}, entries.addr)) })
 			if r.attempts[0].begin() {
 				t.Error("the attempt begins at the server that it was meant for")
 			}
@@ -271,14 +273,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-				write(w, `{"rev":42,"all":true,"targets":[`+lineOf("s1", "terminating")+`]}`)
+				write(w, `{"rev":42,"all":true,"targets":[`+entryText("s1", "terminating")+`]}`)
 			}))
 			defer service.Close()
-			d := newDiscovery(service.Listener.Addr().String(), siteOf(t, settings), newClock(), slog.New(slog.DiscardHandler))
-			d.obey(t.Context(), callOrder{call: policy.Call{ID: 1}})
-			time.Sleep(2 * answerRest) // run hands on another list
+			client := newDiscoveryClient(service.Listener.Addr().String(), siteOf(t, settings), newClock(), slog.New(slog.DiscardHandler))
+			client.execute(t.Context(), callCommand{call: policy.Call{ID: 1}})
+			time.Sleep(2 * bodyEndTimeout) // run hands on another list
 			select {
-			case reply := <-d.replies:
+			case reply := <-client.replies:
 				if reply.err != nil || len(reply.list.entries) != 1 {
 					t.Errorf("the call ends with %d lines, error %v", len(reply.list.entries), reply.err)
 				}
@@ -290,22 +292,22 @@
 }
 
 // The same of the lines of a call that is given up: they were written before.
-func TestLinesThatWereReadAreNotLostWhileTheNodeIsBusy(t *testing.T) {
+func TestEntriesThatWereReadAreNotLostWhileTheNodeIsBusy(t *testing.T) {
 	began := make(chan struct{})
 	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		io.WriteString(w, `{"rev":42,"all":true,"targets":[`+lineOf("s1", "terminating"))
+		io.WriteString(w, `{"rev":42,"all":true,"targets":[`+entryText("s1", "terminating"))
 		http.NewResponseController(w).Flush()
 		close(began)
 		<-r.Context().Done()
 	}))
 	defer service.Close()
-	d := newDiscovery(service.Listener.Addr().String(), siteOf(t, settings), newClock(), slog.New(slog.DiscardHandler))
-	d.obey(t.Context(), callOrder{call: policy.Call{ID: 1}})
+	client := newDiscoveryClient(service.Listener.Addr().String(), siteOf(t, settings), newClock(), slog.New(slog.DiscardHandler))
+	client.execute(t.Context(), callCommand{call: policy.Call{ID: 1}})
 	<-began
-	d.giveUp(1)
-	time.Sleep(4 * lastWords) // run hands on another list
+	client.abandon(1)
+	time.Sleep(4 * abandonedReadTimeout) // run hands on another list
 	select {
-	case reply := <-d.replies:
+	case reply := <-client.replies:
 		if len(reply.list.entries) != 1 {
 			t.Errorf("%d lines, error %v", len(reply.list.entries), reply.err)
 		}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -151,7 +151,7 @@
 	grace    time.Duration // for which a server that was told to drain may be sent to
 	log      *requestLog
 	ready    func() // told once: requests are served from now on
-	calls    *callOrders
+	calls    *callQueue
 	events   chan func()
 	stopped  chan struct{}
 
@@ -168,7 +168,7 @@
 	queue   []func()
 }
 
-func newLoop(set policy.Settings, seed uint64, c clock, up *upstream, calls *callOrders) (*loop, error) {
+func newLoop(set policy.Settings, seed uint64, c clock, up *upstream, calls *callQueue) (*loop, error) {
 	l := &loop{
 		clock: c, upstream: up, gate: newSendGate(), grace: set.Rules.DrainGrace, log: newRequestLog(slog.New(slog.DiscardHandler)),
 		ready: func() {}, calls: calls,
@@ -257,7 +257,7 @@
 // ---- events
 
 // members takes a list of servers or changes to it.
-func (l *loop) members(news listNews) {
+func (l *loop) members(news listUpdate) {
 	switch news.kind {
 	case policy.ListWhole, policy.ListCached:
 		l.replaceServers(news)
@@ -268,7 +268,7 @@
 }
 
 // replaceServers takes a whole list.
-func (l *loop) replaceServers(news listNews) {
+func (l *loop) replaceServers(news listUpdate) {
 	old := l.servers
 	l.servers = make(map[policy.ServerID]backend, len(news.entries))
 	counts := l.balancer.AcceptedEntries(l.now, news.origin, news.entries)
@@ -291,14 +291,14 @@
 	}
 	if len(unnamed) > 0 {
 		l.log.log.Info("servers that the whole list does not name", "count", len(unnamed),
-			"endpoints", unnamed[:min(len(unnamed), linesKept)])
+			"endpoints", unnamed[:min(len(unnamed), maxLoggedServers)])
 	}
 	l.drop(dropped)
 }
 
 // changeServers takes changes to the list. It looks at no other server: there may be very
 // many, and changes often come one by one.
-func (l *loop) changeServers(news listNews) {
+func (l *loop) changeServers(news listUpdate) {
 	var dropped []backend
 	counts := l.balancer.AcceptedEntries(l.now, news.origin, news.entries)
 	for i, e := range news.entries {
@@ -603,9 +603,9 @@
 func (l *loop) MarkReady() { l.ready() }
 
 // CallList implements policy.Host.
-func (l *loop) StartCall(call policy.Call) { l.calls.add(callOrder{call: call}) }
+func (l *loop) StartCall(call policy.Call) { l.calls.add(callCommand{call: call}) }
 
 // EndCall implements policy.Host.
 func (l *loop) CancelCall(id policy.CallID) {
-	l.calls.add(callOrder{call: policy.Call{ID: id}, ends: true})
+	l.calls.add(callCommand{call: policy.Call{ID: id}, abandons: true})
 }
--- a/internal/node/members_test.go
+++ b/internal/node/members_test.go
@@ -11,9 +11,9 @@
 )
 
 // testLoop is a loop that nobody runs: the test calls it.
-func testLoop(t testing.TB) *loop {
+func newTestLoop(t testing.TB) *loop {
 	t.Helper()
-	l, err := newLoop(siteOf(t, settings).Settings, 1, newClock(), newUpstream(time.Hour, patience, 8), newCallOrders())
+	l, err := newLoop(siteOf(t, settings).Settings, 1, newClock(), newUpstream(time.Hour, patience, 8), newCallQueue())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -21,12 +21,12 @@
 }
 
 // versionsHeard counts the lists that tests have had loops hear: each is of a later version.
-var versionsHeard atomic.Int64
+var lastTestVersion atomic.Int64
 
 // hear has a loop hear a list or changes to it, of a later version than any before.
-func (l *loop) hear(kind policy.ListKind, entries []policy.Entry, endpoints []string) {
-	origin := policy.Origin{Version: versionsHeard.Add(1)}
-	l.members(listNews{kind: kind, origin: origin, entries: entries, endpoints: endpoints})
+func (l *loop) applyNewerUpdate(kind policy.ListKind, entries []policy.Entry, endpoints []string) {
+	origin := policy.Origin{Version: lastTestVersion.Add(1)}
+	l.members(listUpdate{kind: kind, origin: origin, entries: entries, endpoints: endpoints})
 }
 
 // wholeList is a list of so many servers as it was read.
@@ -40,24 +40,24 @@
 }
 
 // changeOne changes one server of a list over and over: it starts anew each time.
-func changeOne(l *loop, list serverList, times int) {
+func changeOneServer(l *loop, list serverList, times int) {
 	changed := list.entries[len(list.entries)/2]
-	news := listNews{entries: []policy.Entry{changed}, endpoints: []string{list.endpoints[len(list.endpoints)/2]}}
+	update := listUpdate{entries: []policy.Entry{changed}, endpoints: []string{list.endpoints[len(list.endpoints)/2]}}
 	for range times {
-		news.entries[0].StartedAt++
-		l.changeServers(news)
+		update.entries[0].StartedAt++
+		l.changeServers(update)
 	}
 }
 
 // Guards against a change that costs as much as the whole list: changes come one by one.
 func TestChangeOfOneServerCostsTheSameOnALongList(t *testing.T) {
 	cost := func(servers int) time.Duration {
-		l, list := testLoop(t), wholeList(t, servers)
-		l.replaceServers(listNews{entries: list.entries, endpoints: list.endpoints})
+		l, list := newTestLoop(t), wholeList(t, servers)
+		l.replaceServers(listUpdate{entries: list.entries, endpoints: list.endpoints})
 		least := time.Hour
 		for range 20 { // the least is what it takes when nothing else is in the way
 			began := time.Now()
-			changeOne(l, list, 500)
+			changeOneServer(l, list, 500)
 			least = min(least, time.Since(began))
 		}
 		return least
@@ -89,29 +89,29 @@
 		"another one in place":  {[]policy.Entry{{Server: 1, StartedAt: 5}, ready(3, 0), ready(2, 0)}, []string{"a", "a", "b"}, false},
 	} {
 		for _, kind := range []policy.ListKind{policy.ListChanges, policy.ListWhole, policy.ListCached} {
-			l := testLoop(t)
-			l.hear(policy.ListWhole, []policy.Entry{ready(1, 5), ready(2, 0)}, []string{"a", "b"})
-			one, two := idleTo(t, l.upstream, backend{1, "a", 5}), idleTo(t, l.upstream, backend{2, "b", 0})
-			l.hear(kind, c.entries, c.endpoints)
+			l := newTestLoop(t)
+			l.applyNewerUpdate(policy.ListWhole, []policy.Entry{ready(1, 5), ready(2, 0)}, []string{"a", "b"})
+			one, two := addIdleConn(t, l.upstream, backend{1, "a", 5}), addIdleConn(t, l.upstream, backend{2, "b", 0})
+			l.applyNewerUpdate(kind, c.entries, c.endpoints)
 			if one.quiet() != c.kept || !two.quiet() {
 				t.Errorf("%s, kind %d: connections open: %v, %v; want %v, true", name, kind, one.quiet(), two.quiet(), c.kept)
 			}
-			if l.hear(policy.ListFailed, nil, nil); !two.quiet() {
+			if l.applyNewerUpdate(policy.ListFailed, nil, nil); !two.quiet() {
 				t.Errorf("%s, kind %d: a failed call closes connections", name, kind)
 			}
 		}
 	}
-	l := testLoop(t)
-	l.hear(policy.ListWhole, []policy.Entry{ready(1, 5)}, []string{"a"})
-	one := idleTo(t, l.upstream, backend{1, "a", 5})
-	l.hear(policy.ListWhole, nil, nil)
+	l := newTestLoop(t)
+	l.applyNewerUpdate(policy.ListWhole, []policy.Entry{ready(1, 5)}, []string{"a"})
+	one := addIdleConn(t, l.upstream, backend{1, "a", 5})
+	l.applyNewerUpdate(policy.ListWhole, nil, nil)
 	if one.quiet() {
 		t.Error("a whole list that does not name a server leaves its connection open")
 	}
 }
 
 // idleTo puts an idle connection into the pool.
-func idleTo(t *testing.T, u *upstream, to backend) *conn {
+func addIdleConn(t *testing.T, u *upstream, to backend) *conn {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -19,8 +19,8 @@
 const (
 	// The descriptors that are neither clients' nor servers' connections:
 	// standard streams, listener, poller, discovery.
-	otherSockets = 24
-	leastSockets = 64
+	reservedSockets = 24
+	minSockets      = 64
 
 	// A node that was told to end is killed no sooner than drainGrace and the longest
 	// deadline later, a deadline over drainLongest counting as that. Clients go on using
@@ -28,41 +28,41 @@
 	// until shortly before: answers are due drainSpare ahead of that, connections end from
 	// drainLeave ahead of it on, those behind an answer before those that must be closed
 	// while idle. It may be held up between the signal and its clock, which counts from then on.
-	heldUp       = 150 * time.Millisecond
-	drainGrace   = 700 * time.Millisecond
-	drainLongest = 3 * time.Second
-	drainAccept  = 450 * time.Millisecond // clients connect for up to 0.4 s
-	drainSpare   = 100*time.Millisecond + heldUp
-	drainLeave   = 220*time.Millisecond + heldUp
-	drainBehind  = 100 * time.Millisecond
-	leaveFor     = 20 * time.Millisecond // for idle connections to end by themselves
+	maxSignalDelay        = 150 * time.Millisecond
+	killMargin            = 700 * time.Millisecond
+	maxKillDeadline       = 3 * time.Second
+	shutdownAcceptTime    = 450 * time.Millisecond // clients connect for up to 0.4 s
+	finalAnswerMargin     = 100*time.Millisecond + maxSignalDelay
+	connectionCloseMargin = 220*time.Millisecond + maxSignalDelay
+	closeAfterAnswerTime  = 100 * time.Millisecond
+	idleCloseTime         = 20 * time.Millisecond // for idle connections to end by themselves
 
-	readTimeout  = 2 * time.Second  // a client may take so long over a head and body together
-	writeTimeout = 12 * time.Second // to write an answer, beyond the longest deadline
-	idleTimeout  = 30 * time.Second // some ask once and never close
-	maxHeader    = 16 << 10
+	readTimeout       = 2 * time.Second  // a client may take so long over a head and body together
+	answerWriteMargin = 12 * time.Second // to write an answer, beyond the longest deadline
+	idleTimeout       = 30 * time.Second // some ask once and never close
+	maxHeaderBytes    = 16 << 10
 
 	// longList is the number of known servers above which the memory that it took to read
 	// them is given back after the start, several times what is kept of them.
-	longList = 5000
+	longListServers = 5000
 )
 
 // Run serves until ctx ends, then drains: it goes on accepting for a while,
 // answers all that it took and returns nil. A signal of reloads makes it take over
 // what can change while it runs.
-func Run(ctx context.Context, cfg Config, reloads Reloads, log *slog.Logger) error {
-	if cfg.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * 3 / 4)
+func Run(ctx context.Context, config Config, reloader ConfigReloader, log *slog.Logger) error {
+	if config.MemoryMB > 0 {
+		debug.SetMemoryLimit(int64(config.MemoryMB) << 20 * 3 / 4)
 	}
-	listener, err := listen(ctx, cfg.Listen, log)
+	listener, err := listenWithRetry(ctx, config.Listen, log)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
-	return serve(ctx, cfg, listener, reloads, log)
+	return serve(ctx, config, listener, reloader, log)
 }
 
 // longest is the longest deadline.
-func longest(classes []policy.Class) (deadline time.Duration) {
+func longestDeadline(classes []policy.Class) (deadline time.Duration) {
 	for _, class := range classes {
 		deadline = max(deadline, class.Deadline)
 	}
@@ -70,100 +70,102 @@
 }
 
 // drainTime is how long a node that was told to end lives at least.
-func drainTime(classes []policy.Class) time.Duration {
-	return min(longest(classes), drainLongest) + drainGrace
+func timeUntilKill(classes []policy.Class) time.Duration {
+	return min(longestDeadline(classes), maxKillDeadline) + killMargin
 }
 
 // writeLimit is when an answer is written at the latest, from the request's head on.
-func writeLimit(classes []policy.Class) time.Duration { return longest(classes) + writeTimeout }
+func answerWriteTimeout(classes []policy.Class) time.Duration {
+	return longestDeadline(classes) + answerWriteMargin
+}
 
-func serve(ctx context.Context, cfg Config, listener net.Listener, reloads Reloads, log *slog.Logger) error {
+func serve(ctx context.Context, config Config, listener net.Listener, reloader ConfigReloader, log *slog.Logger) error {
 	defer listener.Close()
-	c := newClock()
-	set := cfg.Site.Settings
-	set.ConfirmCachedList, set.LongPolling = true, true
+	clock := newClock()
+	settings := config.Site.Settings
+	settings.ConfirmCachedList, settings.LongPolling = true, true
 	// A request in work takes a descriptor at each side and a second copy one more at
 	// the servers'; clients also have idle connections, and some that say nothing.
-	servers := (cfg.Sockets - otherSockets) * 9 / 20
-	clients := newClients(cfg.Sockets - otherSockets - servers)
-	up := newUpstream(cfg.Site.ConnIdle, cfg.Site.ConnectTimeout, servers)
-	disco := newDiscovery(cfg.Discovery, cfg.Site, c, log)
-	l, err := newLoop(set, cfg.Seed, c, up, disco.orders)
+	servers := (config.Sockets - reservedSockets) * 9 / 20
+	clients := newClients(config.Sockets - reservedSockets - servers)
+	upstream := newUpstream(config.Site.ConnIdle, config.Site.ConnectTimeout, servers)
+	discovery := newDiscoveryClient(config.Discovery, config.Site, clock, log)
+	loop, err := newLoop(settings, config.Seed, clock, upstream, discovery.commands)
 	if err != nil {
 		return err
 	}
-	l.log = newRequestLog(log)
-	disco.log.lines = &l.metrics.linesOfPartial
-	l.balancer.Observe(decisionLog{log, l})
-	up.log, clients.log = log, log
+	loop.log = newRequestLog(log)
+	discovery.callLog.partialListLines = &loop.metrics.partialListLines
+	loop.balancer.Observe(decisionLog{log, loop})
+	upstream.log, clients.log = log, log
 	var ready atomic.Bool
-	l.ready = func() {
+	loop.ready = func() {
 		ready.Store(true)
-		log.Info("ready", "node", cfg.Name, "listen", listener.Addr().String())
+		log.Info("ready", "node", config.Name, "listen", listener.Addr().String())
 	}
-	disco.follow(l)
+	discovery.attachTo(loop)
 
-	known := cfg.Known
-	cfg.Known = hostList{} // it may be long, and is of no use once it is handed on
+	known := config.KnownList
+	config.KnownList = listMessage{} // it may be long, and is of no use once it is handed on
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	go l.run(background)
+	go loop.run(background)
 	go func() {
-		long := len(known.Targets) > longList
-		disco.start(known, set.ListOnRequest)
-		known = hostList{}
-		if long {
+		isLong := len(known.Entries) > longListServers
+		discovery.start(known, settings.ListOnRequest)
+		known = listMessage{}
+		if isLong {
 			debug.FreeOSMemory()
 		}
-		disco.run(background)
+		discovery.run(background)
 	}()
-	go reloads.follow(background, cfg, func(addr string) { disco.move(background, addr) }, log)
+	go reloader.run(background, config, func(addr string) { discovery.requestAddrChange(background, addr) }, log)
 	go func() {
-		for every := time.Tick(time.Second); background.Err() == nil; <-every {
-			up.sweep()
+		for ticks := time.Tick(time.Second); background.Err() == nil; <-ticks {
+			upstream.sweep()
 		}
 	}()
 
 	go clients.run(background)
 
-	bodies := int64(64 << 20)
-	if cfg.MemoryMB > 0 {
-		bodies = int64(cfg.MemoryMB) << 20 / 8
+	bodyBudgetBytes := int64(64 << 20)
+	if config.MemoryMB > 0 {
+		bodyBudgetBytes = int64(config.MemoryMB) << 20 / 8
 	}
-	f := newFront(l, cfg.Site, clients, bodies, ready.Load)
+	front := newFront(loop, config.Site, clients, bodyBudgetBytes, ready.Load)
 	server := http.Server{
-		Handler: f, ReadHeaderTimeout: readTimeout, ReadTimeout: readTimeout,
-		WriteTimeout: writeLimit(set.Classes), IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader,
+		Handler: front, ReadHeaderTimeout: readTimeout, ReadTimeout: readTimeout,
+		WriteTimeout: answerWriteTimeout(settings.Classes), IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ConnState: clients.state, ConnContext: clients.context,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- server.Serve(clients.listener(listener)) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- server.Serve(clients.listener(listener)) }()
 	select {
-	case err := <-ended:
+	case err := <-serveErr:
 		return fmt.Errorf("serve: %w", err)
 	case <-ctx.Done():
 	}
 
 	log.Info("draining")
-	kill := time.Now().Add(drainTime(set.Classes))
-	l.post(func() { l.endAt(l.now + time.Until(kill) - drainSpare) })
-	told := time.Now()
-	for time.Until(kill) > drainLeave+drainBehind && (time.Since(told) < drainAccept || !clients.empty()) {
-		time.Sleep(leaveFor)
+	killAt := time.Now().Add(timeUntilKill(settings.Classes))
+	loop.post(func() { loop.endAt(loop.now + time.Until(killAt) - finalAnswerMargin) })
+	signalledAt := time.Now()
+	for time.Until(killAt) > connectionCloseMargin+closeAfterAnswerTime && (time.Since(signalledAt) < shutdownAcceptTime || !clients.empty()) {
+		time.Sleep(idleCloseTime)
 	}
-	f.draining.Store(true)
+	front.draining.Store(true)
 	if !clients.empty() {
-		time.Sleep(drainBehind)
+		time.Sleep(closeAfterAnswerTime)
 	}
 	clients.leave()
-	time.Sleep(leaveFor)
-	limit, cancel := context.WithDeadline(background, kill)
-	defer cancel()
-	if err := server.Shutdown(limit); err != nil && !errors.Is(err, context.DeadlineExceeded) {
+	time.Sleep(idleCloseTime)
+	shutdownCtx, cancelShutdown := context.WithDeadline(background, killAt)
+	defer cancelShutdown()
+	if err := server.Shutdown(shutdownCtx); err != nil && !errors.Is(err, context.DeadlineExceeded) {
 		return fmt.Errorf("shut down: %w", err)
 	}
 	server.Close()
-	log.Info("stopped", "drain_violations", l.metrics.drainViolations.Load())
+	log.Info("stopped", "drain_violations", loop.metrics.drainViolations.Load())
 	return nil
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -35,7 +35,7 @@
 	*httptest.Server
 	mu      sync.Mutex
 	rev     int64
-	all     map[string]target
+	all     map[string]listEntry
 	changed map[string]int64 // uid: version of the last change
 	news    chan struct{}    // closed and replaced at each change
 	down    bool
@@ -47,8 +47,8 @@
 	wholes  int    // calls for the whole list
 }
 
-func newRegistry(t *testing.T, targets ...target) *registry {
-	d := &registry{rev: 1, all: map[string]target{}, changed: map[string]int64{}, news: make(chan struct{})}
+func newRegistry(t *testing.T, targets ...listEntry) *registry {
+	d := &registry{rev: 1, all: map[string]listEntry{}, changed: map[string]int64{}, news: make(chan struct{})}
 	for _, e := range targets {
 		d.all[e.UID], d.changed[e.UID] = e, 1
 	}
@@ -65,7 +65,7 @@
 	d.news = make(chan struct{})
 }
 
-func (d *registry) change(e target) {
+func (d *registry) change(e listEntry) {
 	d.set(func() { d.rev++; d.all[e.UID], d.changed[e.UID] = e, d.rev })
 }
 
@@ -106,10 +106,10 @@
 		io.WriteString(w, d.spoilt)
 		return
 	}
-	list := hostList{Rev: d.rev, All: since == 0}
+	list := listMessage{Version: d.rev, IsWhole: since == 0}
 	for uid, e := range d.all {
 		if d.changed[uid] > since {
-			list.Targets = append(list.Targets, e)
+			list.Entries = append(list.Entries, e)
 		}
 	}
 	json.NewEncoder(w).Encode(list)
@@ -125,8 +125,8 @@
 	})
 }
 
-func listed(s *server, uid string) target {
-	return target{UID: uid, Endpoint: s.addr, AZ: "a", State: "in_service", CapacityHint: 1}
+func listed(s *server, uid string) listEntry {
+	return listEntry{UID: uid, Endpoint: s.addr, AZ: "a", State: "in_service", CapacityHint: 1}
 }
 
 func siteOf(t testing.TB, text string) wire.Site {
@@ -139,12 +139,12 @@
 }
 
 // startNode runs a node until the test ends; stop drains it.
-func startNode(t *testing.T, d *registry, known ...target) (addr string, stop func() error) {
+func startNode(t *testing.T, d *registry, known ...listEntry) (addr string, stop func() error) {
 	t.Helper()
-	return startNodeWith(t, d, Reloads{}, known...)
+	return startNodeWith(t, d, ConfigReloader{}, known...)
 }
 
-func startNodeWith(t *testing.T, d *registry, reloads Reloads, known ...target) (addr string, stop func() error) {
+func startNodeWith(t *testing.T, d *registry, reloads ConfigReloader, known ...listEntry) (addr string, stop func() error) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -164,7 +164,7 @@
 }
 
 // startNodeOn runs a node on a listener.
-func startNodeOn(t *testing.T, l net.Listener, d *registry, reloads Reloads, known ...target) *testNode {
+func startNodeOn(t *testing.T, l net.Listener, d *registry, reloads ConfigReloader, known ...listEntry) *testNode {
 	t.Helper()
 	text := settings
 	if d.asked {
@@ -172,7 +172,7 @@
 	}
 	cfg := Config{
 		Name: "n0", Listen: l.Addr().String(), Discovery: d.Listener.Addr().String(), Seed: 1,
-		Sockets: leastSockets, Known: hostList{Rev: 1, All: true, Targets: known}, Site: siteOf(t, text),
+		Sockets: minSockets, KnownList: listMessage{Version: 1, IsWhole: true, Entries: known}, Site: siteOf(t, text),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &testNode{addr: cfg.Listen, ended: make(chan struct{})}
@@ -633,14 +633,14 @@
 		c.Read(make([]byte, 1)) // silent until the node gives up
 		return false
 	})
-	l, err := newLoop(siteOf(t, settings).Settings, 1, newClock(), testUpstream(t, 8), newCallOrders())
+	l, err := newLoop(siteOf(t, settings).Settings, 1, newClock(), testUpstream(t, 8), newCallQueue())
 	if err != nil {
 		t.Fatal(err)
 	}
 	go l.run(t.Context())
 	done, m := make(chan answer, 1), get()
 	l.post(func() {
-		l.hear(policy.ListWhole, []policy.Entry{{Server: 1, State: policy.StateInService}}, []string{s.addr})
+		l.applyNewerUpdate(policy.ListWhole, []policy.Entry{{Server: 1, State: policy.StateInService}}, []string{s.addr})
 		l.endBy = l.now + 100*time.Millisecond
 		m.deadline = l.now + time.Hour
 		l.submit(policy.Request{}, m, done)
@@ -662,11 +662,11 @@
 	for longest, want := range map[time.Duration]time.Duration{
 		450 * time.Millisecond: 1150 * time.Millisecond, 3 * time.Second: 3700 * time.Millisecond, time.Minute: 3700 * time.Millisecond,
 	} {
-		if got := drainTime([]policy.Class{{Deadline: longest / 2}, {Deadline: longest}}); got != want {
+		if got := timeUntilKill([]policy.Class{{Deadline: longest / 2}, {Deadline: longest}}); got != want {
 			t.Errorf("deadline %v: the kill is expected after %v, want %v", longest, got, want)
 		}
 	}
-	if got := writeLimit([]policy.Class{{Deadline: time.Minute}}); got <= time.Minute {
+	if got := answerWriteTimeout([]policy.Class{{Deadline: time.Minute}}); got <= time.Minute {
 		t.Errorf("answers of a class with a deadline of a minute are cut off after %v", got)
 	}
 	came := make(chan struct{}, 2)
@@ -676,15 +676,15 @@
 		return false
 	})
 	site := siteOf(t, strings.ReplaceAll(settings, `"DeadlineMs": 3000`, `"DeadlineMs": 60000`))
-	l, err := newLoop(site.Settings, 1, newClock(), testUpstream(t, 8), newCallOrders())
+	l, err := newLoop(site.Settings, 1, newClock(), testUpstream(t, 8), newCallQueue())
 	if err != nil {
 		t.Fatal(err)
 	}
 	go l.run(t.Context())
 	l.post(func() {
-		l.hear(policy.ListWhole, []policy.Entry{{Server: 1, State: policy.StateInService}}, []string{s.addr})
+		l.applyNewerUpdate(policy.ListWhole, []policy.Entry{{Server: 1, State: policy.StateInService}}, []string{s.addr})
 	})
-	front := httptest.NewServer(newFront(l, site, newClients(leastSockets), 1<<20, func() bool { return true }))
+	front := httptest.NewServer(newFront(l, site, newClients(minSockets), 1<<20, func() bool { return true }))
 	t.Cleanup(func() { front.CloseClientConnections(); front.Close() })
 	codes := make(chan int, 2)
 	ask := func() {
@@ -719,7 +719,7 @@
 	addr, machine := silentMachine(t)
 	set := siteOf(t, settings).Settings
 	change(&set)
-	l, err := newLoop(set, 1, newClock(), newUpstream(time.Hour, patience, 8), newCallOrders())
+	l, err := newLoop(set, 1, newClock(), newUpstream(time.Hour, patience, 8), newCallQueue())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -727,7 +727,7 @@
 	done = make(chan answer, 1)
 	sent := make(chan *request)
 	l.post(func() {
-		l.hear(policy.ListWhole, []policy.Entry{{Server: 1, State: policy.StateInService}}, []string{addr})
+		l.applyNewerUpdate(policy.ListWhole, []policy.Entry{{Server: 1, State: policy.StateInService}}, []string{addr})
 		m := push()
 		m.deadline = l.now + time.Hour
 		sent <- l.submit(policy.Request{Class: class}, m, done)
@@ -741,7 +741,7 @@
 	l, _, machine, done := lateConnect(t, 2, func(set *policy.Settings) { set.Limits.AllowCancel = false })
 	other := newServer(t, says(ok("2"), true))
 	l.post(func() {
-		l.hear(policy.ListChanges, []policy.Entry{{Server: 1, State: policy.StateDraining}, {Server: 2, State: policy.StateInService}},
+		l.applyNewerUpdate(policy.ListChanges, []policy.Entry{{Server: 1, State: policy.StateDraining}, {Server: 2, State: policy.StateInService}},
 			[]string{"", other.addr})
 	})
 	drains := machine(ok("1")) // now its connections come up
@@ -796,7 +796,7 @@
 			c := &set.Classes[0]
 			c.Deadline, c.DedupWindow = time.Hour, time.Minute
 			c.LatencyTarget, c.TargetWorkFactor = 80*time.Millisecond, 3600 // repeats soon, and is of use for long
-			l, err := newLoop(set, 1, newClock(), newUpstream(time.Hour, patience, 8), newCallOrders())
+			l, err := newLoop(set, 1, newClock(), newUpstream(time.Hour, patience, 8), newCallQueue())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -808,11 +808,11 @@
 				for range 10 { // each is refused and saves up a tenth of a second copy
 					l.balancer.RequestArrived(l.now, policy.Request{ID: 1 << 31})
 				}
-				l.hear(policy.ListWhole, []policy.Entry{{Server: 1, State: policy.StateInService}}, []string{one})
+				l.applyNewerUpdate(policy.ListWhole, []policy.Entry{{Server: 1, State: policy.StateInService}}, []string{one})
 				m := push()
 				m.body, m.deadline = make([]byte, 16<<20), l.now+time.Hour // more than buffers hold
 				sent <- l.submit(policy.Request{WorkHint: time.Second}, m, done)
-				l.hear(policy.ListChanges, []policy.Entry{{Server: 2, State: policy.StateInService}}, []string{two})
+				l.applyNewerUpdate(policy.ListChanges, []policy.Entry{{Server: 2, State: policy.StateInService}}, []string{two})
 			})
 			r := <-sent
 			look := func(is func() bool) bool { // in the loop, which owns the request
@@ -975,7 +975,7 @@
 	for word, want := range map[string]policy.ServerState{
 		"in_service": policy.StateInService, "terminating": policy.StateDraining, "terminated": policy.StateGone, "resting": policy.StateDraining,
 	} {
-		if got := state(word); got != want {
+		if got := parseState(word); got != want {
 			t.Errorf("%s: state %d, want %d", word, got, want)
 		}
 	}
--- a/internal/node/real_node_scale_test.go
+++ b/internal/node/real_node_scale_test.go
@@ -45,22 +45,22 @@
 	go backends.Serve(listener)
 	b.Cleanup(func() { backends.Close() })
 
-	targets := fleetTargets(servers)
+	targets := fleetEntries(servers)
 	for i := range targets {
 		targets[i].Endpoint = listener.Addr().String()
 	}
-	service := newDiscoveryService(b, workCosts{patience: time.Second}, targets)
+	service := newDiscoveryService(b, serviceCosts{queueTimeout: time.Second}, targets)
 	front, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	cfg := Config{
+	config := Config{
 		Name: "n0", Listen: front.Addr().String(), Discovery: service.Listener.Addr().String(), Seed: 1,
-		Sockets: 1024, Known: service.list(), Site: fleetSite(b, nodes, siteMustAsk),
+		Sockets: 1024, KnownList: service.list(), Site: fleetSite(b, nodes, siteMaxCallInterval),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- serve(ctx, cfg, front, Reloads{}, slog.New(slog.DiscardHandler)) }()
+	go func() { ended <- serve(ctx, config, front, ConfigReloader{}, slog.New(slog.DiscardHandler)) }()
 	node := &realNode{front: front.Addr().String(), server: listener.Addr().String()}
 	node.client.Transport = &http.Transport{MaxIdleConnsPerHost: 64}
 	b.Cleanup(func() {
@@ -79,7 +79,7 @@
 }
 
 // ask makes one request and tells how long its answer took, and whether it was served.
-func (n *realNode) ask(addr string, id int) (took time.Duration, served bool, err error) {
+func (n *realNode) sendRequest(addr string, id int) (took time.Duration, served bool, err error) {
 	request, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/read/%d", addr, id), nil)
 	if err != nil {
 		return 0, false, err
@@ -100,18 +100,18 @@
 }
 
 // play sends requests at the target's rate, whether or not others are answered, and waits for all.
-func (n *realNode) play(b *testing.B, addr string, count int, times *hdrhistogram.Histogram) (served int) {
+func (n *realNode) sendAtTargetRate(b *testing.B, addr string, count int, times *hdrhistogram.Histogram) (served int) {
 	b.Helper()
 	var mu sync.Mutex
-	var asking sync.WaitGroup
+	var sending sync.WaitGroup
 	due := time.NewTicker(time.Second * targetNodes / targetRequestsPerSecond)
 	defer due.Stop()
 	for range count {
 		<-due.C
 		n.requests++
 		id := n.requests
-		asking.Go(func() {
-			took, ok, err := n.ask(addr, id)
+		sending.Go(func() {
+			took, ok, err := n.sendRequest(addr, id)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -124,7 +124,7 @@
 			}
 		})
 	}
-	asking.Wait()
+	sending.Wait()
 	return served
 }
 
@@ -136,16 +136,16 @@
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			node := startRealNode(b, targetNodes, servers)
 			direct, through := newHistogram(), newHistogram()
-			node.play(b, node.server, 300, direct)
-			node.play(b, node.front, 100, newHistogram()) // the first requests open connections
-			before, asked, served := processTime(b), 0, 0
+			node.sendAtTargetRate(b, node.server, 300, direct)
+			node.sendAtTargetRate(b, node.front, 100, newHistogram()) // the first requests open connections
+			before, asked, served := processCPUTime(b), 0, 0
 			opened, begin := node.connections(), time.Now()
 			for b.Loop() {
-				served += node.play(b, node.front, requestsEach, through)
+				served += node.sendAtTargetRate(b, node.front, requestsEach, through)
 				asked += requestsEach
 			}
 			elapsed := time.Since(begin).Seconds()
-			b.ReportMetric(100*(processTime(b)-before).Seconds()/elapsed, "%core")
+			b.ReportMetric(100*(processCPUTime(b)-before).Seconds()/elapsed, "%core")
 			b.ReportMetric(100*float64(served)/float64(asked), "%served")
 			b.ReportMetric(float64(node.connections()-opened)/float64(asked), "connections/request")
 			reportQuantiles(b, "direct", direct)
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -22,7 +22,7 @@
 	t.Helper()
 	text, err := json.Marshal(map[string]any{
 		"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "1",
-		"limits": map[string]any{"sockets": leastSockets}, "settings": json.RawMessage(settings),
+		"limits": map[string]any{"sockets": minSockets}, "settings": json.RawMessage(settings),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -43,7 +43,7 @@
 	}
 	hangups := make(chan os.Signal, 1)
 	path := filepath.Join(t.TempDir(), "config.json")
-	addr, _ := startNodeWith(t, old, Reloads{path, hangups})
+	addr, _ := startNodeWith(t, old, ConfigReloader{path, hangups})
 	old.told(t)
 
 	stop, answers := make(chan struct{}), sync.WaitGroup{}
@@ -107,7 +107,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		Reloads{path, hangups}.follow(ctx, current, func(addr string) { moved <- addr }, slog.New(slog.NewTextHandler(&text, nil)))
+		ConfigReloader{path, hangups}.run(ctx, current, func(addr string) { moved <- addr }, slog.New(slog.NewTextHandler(&text, nil)))
 	}()
 	hangups <- syscall.SIGHUP
 	hangups <- syscall.SIGHUP // the same again moves nothing
@@ -153,7 +153,7 @@
 			ended := make(chan struct{})
 			go func() {
 				defer close(ended)
-				Reloads{path, hangups}.follow(ctx, current, func(addr string) { moved <- addr }, log)
+				ConfigReloader{path, hangups}.run(ctx, current, func(addr string) { moved <- addr }, log)
 			}()
 			hangups <- syscall.SIGHUP
 			<-failed
--- a/internal/node/spoilt_test.go
+++ b/internal/node/spoilt_test.go
@@ -147,7 +147,7 @@
 func TestNothingIsKeptOfWhatIsGone(t *testing.T) {
 	s := newServer(t, says(ok("x"), true))
 	u := testUpstream(t, 8)
-	l, err := newLoop(siteOf(t, settings).Settings, 1, newClock(), u, newCallOrders())
+	l, err := newLoop(siteOf(t, settings).Settings, 1, newClock(), u, newCallQueue())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -156,9 +156,9 @@
 		placed, done := make(chan struct{}), make(chan answer, 1)
 		id := serverID(fmt.Sprint("s", i))
 		l.post(func() {
-			l.hear(policy.ListChanges, []policy.Entry{{Server: id, State: policy.StateInService}}, []string{s.addr})
+			l.applyNewerUpdate(policy.ListChanges, []policy.Entry{{Server: id, State: policy.StateInService}}, []string{s.addr})
 			if i > 0 {
-				l.hear(policy.ListChanges, []policy.Entry{{Server: serverID(fmt.Sprint("s", i-1))}}, []string{s.addr})
+				l.applyNewerUpdate(policy.ListChanges, []policy.Entry{{Server: serverID(fmt.Sprint("s", i-1))}}, []string{s.addr})
 			}
 			close(placed)
 		})
--- a/internal/node/tenants_scale_test.go
+++ b/internal/node/tenants_scale_test.go
@@ -33,7 +33,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				l, err := newLoop(site.Settings, 1, newClock(), newUpstream(site.ConnIdle, site.ConnectTimeout, 0), newCallOrders())
+				l, err := newLoop(site.Settings, 1, newClock(), newUpstream(site.ConnIdle, site.ConnectTimeout, 0), newCallQueue())
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -100,7 +100,7 @@
 // request that crosses a server's close ends as a reset that may have run.
 func newUpstream(connIdle, connectTimeout time.Duration, most int) *upstream {
 	return &upstream{
-		idleFor: connIdle * 3 / 4, dialer: dialTCP(connectTimeout), most: most, log: slog.New(slog.DiscardHandler), idle: map[backend][]*conn{},
+		idleFor: connIdle * 3 / 4, dialer: tcpDialer(connectTimeout), most: most, log: slog.New(slog.DiscardHandler), idle: map[backend][]*conn{},
 	}
 }
 
@@ -127,7 +127,7 @@
 	began := time.Now()
 	c, err := u.get(ctx, to)
 	switch {
-	case errors.Is(err, errNoSockets) || isAny(err, localFailures):
+	case errors.Is(err, errNoSockets) || isOneOf(err, localErrors):
 		return reply{status: policy.NotSent} // our own limits say nothing of the server
 	case err != nil:
 		return reply{status: policy.ConnectFailed}
