--- a/internal/node/answer.go
+++ b/internal/node/answer.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	maxInterim    = 8        // 1xx answers ahead of the one that counts
-	maxAnswerHead = 16 << 10 // of an answer, interim ones included
+	maxInterimResponses  = 8        // 1xx answers ahead of the one that counts
+	maxResponseHeadBytes = 16 << 10 // of an answer, interim ones included
 )
 
 // serverAnswer is an answer as it came from a server, whole.
-type serverAnswer struct {
-	code   int
-	header textproto.MIMEHeader
-	body   []byte
-	closes bool // the server ends the connection behind it
+type serverResponse struct {
+	statusCode int
+	header     textproto.MIMEHeader
+	body       []byte
+	closesConn bool // the server ends the connection behind it
 }
 
 // errSpoilt is wrapped by whatever is wrong with an answer.
-var errSpoilt = errors.New("spoilt answer")
+var errMalformedResponse = errors.New("spoilt answer")
 
-func spoilt(format string, args ...any) error {
-	return fmt.Errorf("%w: %s", errSpoilt, fmt.Sprintf(format, args...))
+func malformedResponse(format string, args ...any) error {
+	return fmt.Errorf("%w: %s", errMalformedResponse, fmt.Sprintf(format, args...))
 }
 
 // readAnswer reads one answer. It is stricter than net/http's client, which takes
@@ -38,72 +38,72 @@
 // body of any length: an answer whose end two readers could see at two places
 // can't be told from the next one's beginning. begun is called with the first byte
 // of each head, and waiting before it.
-func readAnswer(in *bufio.Reader, waiting, begun func()) (serverAnswer, error) {
-	for range maxInterim + 1 {
-		waiting()
-		if _, err := in.Peek(1); err != nil {
-			return serverAnswer{}, err
+func readResponse(reader *bufio.Reader, beforeHead, onHeadStart func()) (serverResponse, error) {
+	for range maxInterimResponses + 1 {
+		beforeHead()
+		if _, err := reader.Peek(1); err != nil {
+			return serverResponse{}, err
 		}
-		begun()
-		a, err := readHead(in)
+		onHeadStart()
+		response, err := readResponseHead(reader)
 		switch {
 		case err != nil:
-			return serverAnswer{}, err
-		case a.code == http.StatusSwitchingProtocols:
-			return serverAnswer{}, spoilt("switches protocols")
-		case a.code >= 200:
-			a.body, err = readBody(in, a.header)
-			return a, err
+			return serverResponse{}, err
+		case response.statusCode == http.StatusSwitchingProtocols:
+			return serverResponse{}, malformedResponse("switches protocols")
+		case response.statusCode >= 200:
+			response.body, err = readResponseBody(reader, response.header)
+			return response, err
 		}
 	}
-	return serverAnswer{}, spoilt("over %d interim answers", maxInterim)
+	return serverResponse{}, malformedResponse("over %d interim answers", maxInterimResponses)
 }
 
-func readHead(in *bufio.Reader) (a serverAnswer, err error) {
-	text := textproto.NewReader(in)
-	line, err := text.ReadLine()
+func readResponseHead(reader *bufio.Reader) (response serverResponse, err error) {
+	headReader := textproto.NewReader(reader)
+	line, err := headReader.ReadLine()
 	if err != nil {
-		return a, err
+		return response, err
 	}
 	version, rest, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(rest, " ")
 	if version != "HTTP/1.1" && version != "HTTP/1.0" || len(code) != 3 {
-		return a, spoilt("status line %.40q", line)
+		return response, malformedResponse("status line %.40q", line)
 	}
-	if a.code, err = strconv.Atoi(code); err != nil || a.code < 100 {
-		return a, spoilt("status line %.40q", line)
+	if response.statusCode, err = strconv.Atoi(code); err != nil || response.statusCode < 100 {
+		return response, malformedResponse("status line %.40q", line)
 	}
-	if a.header, err = text.ReadMIMEHeader(); err != nil {
-		return a, err
+	if response.header, err = headReader.ReadMIMEHeader(); err != nil {
+		return response, err
 	}
-	a.closes = version == "HTTP/1.0" || strings.EqualFold(a.header.Get("Connection"), "close")
-	return a, nil
+	response.closesConn = version == "HTTP/1.0" || strings.EqualFold(response.header.Get("Connection"), "close")
+	return response, nil
 }
 
-func readBody(in *bufio.Reader, h textproto.MIMEHeader) ([]byte, error) {
-	lengths, codings := h["Content-Length"], h["Transfer-Encoding"]
+func readResponseBody(reader *bufio.Reader, header textproto.MIMEHeader) ([]byte, error) {
+	lengths, encodings := header["Content-Length"], header["Transfer-Encoding"]
 	switch {
-	case len(codings) == 1 && len(lengths) == 0 && strings.EqualFold(codings[0], "chunked"):
-		body, err := io.ReadAll(io.LimitReader(httputil.NewChunkedReader(in), maxBody+1))
+	case len(encodings) == 1 && len(lengths) == 0 && strings.EqualFold(encodings[0], "chunked"):
+		body, err := io.ReadAll(io.LimitReader(httputil.NewChunkedReader(reader), maxBodyBytes+1))
 		if err != nil {
 			return nil, err
 		}
-		if len(body) > maxBody {
-			return nil, spoilt("body over the limit")
+		if len(body) > maxBodyBytes {
+			return nil, malformedResponse("body over the limit")
 		}
 		// Behind the last chunk come trailers, none as a rule, and an empty line.
-		if _, err := textproto.NewReader(in).ReadMIMEHeader(); err != nil {
+		if _, err := textproto.NewReader(reader).ReadMIMEHeader(); err != nil {
 			return nil, err
 		}
 		return body, nil
-	case len(codings) != 0 || len(lengths) != 1:
-		return nil, spoilt("%d lengths, %d codings", len(lengths), len(codings))
+	case len(encodings) != 0 || len(lengths) != 1:
+		return nil, malformedResponse("%d lengths, %d codings", len(lengths), len(encodings))
 	}
 	length, err := strconv.ParseUint(lengths[0], 10, 63)
-	if err != nil || length > maxBody {
-		return nil, spoilt("length %.40q", lengths[0])
+	if err != nil || length > maxBodyBytes {
+		return nil, malformedResponse("length %.40q", lengths[0])
 	}
 	body := make([]byte, length)
-	_, err = io.ReadFull(in, body)
+	_, err = io.ReadFull(reader, body)
 	return body, err
 }
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -19,11 +19,11 @@
 const (
 	// A connection that was idle for less than this is one that a client goes
 	// through in turn: a request may be on its way already, and would be lost.
-	evictAfter = time.Second
+	minIdleBeforeEviction = time.Second
 	// Clients that connect to ask do so at once: their first head was seen to come
 	// within 2 ms. One that has sent none for so long gives way when room is needed.
-	silentAfter = 50 * time.Millisecond
-	evictEvery  = 25 * time.Millisecond
+	minSilenceBeforeEviction = 50 * time.Millisecond
+	evictionInterval         = 25 * time.Millisecond
 )
 
 // clients keeps the connections of clients within the node's descriptors. A
@@ -32,49 +32,49 @@
 // their connections; beyond most those go that have sent no whole head yet, then
 // the longest idle ones. If that won't do, because so many requests are open,
 // further ones are refused at once. More than most+spare are never accepted.
-type clients struct {
-	most, spare int
-	log         *slog.Logger
-
-	mu      sync.Mutex
-	conns   map[*client]struct{}
-	silent  list.List // of *client with no head yet, the oldest first
-	idle    list.List // of *client, the longest idle first
-	leaving int       // evicted and not closed yet
+type clientConns struct {
+	maxConns, headroom int
+	log                *slog.Logger
+
+	mu           sync.Mutex
+	conns        map[*clientConn]struct{}
+	awaitingHead list.List // of *client with no head yet, the oldest first
+	idleConns    list.List // of *client, the longest idle first
+	evictedCount int       // evicted and not closed yet
 }
 
 // client is a client's connection. Closing one between two requests may cross the
 // next request, which then has reached the node's machine and gets no answer. So it
 // is never closed from outside: eviction ends the wait for data instead, and data
 // that has come by then wins.
-type client struct {
+type clientConn struct {
 	net.Conn
-	group   *clients
-	in      *list.List // silent or idle; nil while a request is open
-	place   *list.Element
-	since   time.Time // when it went there
-	leaving bool      // evicted, unless data comes first
+	owner       *clientConns
+	list        *list.List // silent or idle; nil while a request is open
+	element     *list.Element
+	listedSince time.Time // when it went there
+	isEvicted   bool      // evicted, unless data comes first
 
 	// What came behind an open request. Only Read touches it, which net/http calls one at a time.
-	ahead   []byte
-	spilled atomic.Bool // there was too much of it: the rest is lost, and the connection with it
+	pipelined          []byte
+	pipelineOverflowed atomic.Bool // there was too much of it: the rest is lost, and the connection with it
 }
 
-const maxAhead = 4 << 10
+const maxPipelinedBytes = 4 << 10
 
-func newClients(descriptors int) *clients {
+func newClientConns(descriptors int) *clientConns {
 	spare := descriptors / 8
-	return &clients{most: descriptors - spare, spare: spare, log: slog.New(slog.DiscardHandler), conns: map[*client]struct{}{}}
+	return &clientConns{maxConns: descriptors - spare, headroom: spare, log: slog.New(slog.DiscardHandler), conns: map[*clientConn]struct{}{}}
 }
 
 // clientListener accepts clients.
 type clientListener struct {
 	net.Listener
-	group *clients
+	owner *clientConns
 }
 
-func (g *clients) listener(l net.Listener) net.Listener {
-	return clientListener{netutil.LimitListener(retryingListener{l, g.log}, g.most+g.spare), g}
+func (cc *clientConns) listener(inner net.Listener) net.Listener {
+	return clientListener{netutil.LimitListener(retryingListener{inner, cc.log}, cc.maxConns+cc.headroom), cc}
 }
 
 func (l clientListener) Accept() (net.Conn, error) {
@@ -82,24 +82,24 @@
 	if err != nil {
 		return nil, err
 	}
-	return &client{Conn: conn, group: l.group}, nil
+	return &clientConn{Conn: conn, owner: l.owner}, nil
 }
 
 // clientKey is where a request's context holds its connection.
-type clientKey struct{}
+type clientConnKey struct{}
 
 // context is http.Server's ConnContext.
-func (g *clients) context(ctx context.Context, conn net.Conn) context.Context {
-	return context.WithValue(ctx, clientKey{}, conn)
+func (cc *clientConns) connContext(ctx context.Context, conn net.Conn) context.Context {
+	return context.WithValue(ctx, clientConnKey{}, conn)
 }
 
 // sentTooMuch tells that a request's connection can't be read any further.
-func sentTooMuch(r *http.Request) bool {
-	c, ok := r.Context().Value(clientKey{}).(*client)
-	return ok && c.spilled.Load()
+func pipelinedTooMuch(r *http.Request) bool {
+	c, ok := r.Context().Value(clientConnKey{}).(*clientConn)
+	return ok && c.pipelineOverflowed.Load()
 }
 
-var longAgo = time.Unix(1, 0)
+var pastDeadline = time.Unix(1, 0)
 
 // Read looks once more when the wait for a request is over, be it by eviction or by
 // net/http's time limit for idle connections: a node that gets little CPU may have
@@ -108,42 +108,42 @@
 // While a request is open, net/http waits for its client's close in a read of one byte, and
 // looks no further once one has come. A client that sends on before it is answered and then
 // goes would not be missed, so that what comes is kept here and the wait goes on.
-func (c *client) Read(b []byte) (int, error) {
-	if len(b) == 1 && !c.waits() {
-		return 0, c.watch()
+func (c *clientConn) Read(b []byte) (int, error) {
+	if len(b) == 1 && !c.isWaiting() {
+		return 0, c.awaitClose()
 	}
-	if len(c.ahead) > 0 {
-		n := copy(b, c.ahead)
-		if c.ahead = c.ahead[n:]; len(c.ahead) == 0 {
-			c.ahead = nil
+	if len(c.pipelined) > 0 {
+		n := copy(b, c.pipelined)
+		if c.pipelined = c.pipelined[n:]; len(c.pipelined) == 0 {
+			c.pipelined = nil
 		}
-		c.stay()
+		c.undoEviction()
 		return n, nil
 	}
-	if c.spilled.Load() {
+	if c.pipelineOverflowed.Load() {
 		return 0, io.EOF
 	}
 	n, err := c.Conn.Read(b)
-	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.waits() {
+	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.isWaiting() {
 		c.Conn.SetReadDeadline(time.Now().Add(time.Millisecond))
 		n, err = c.Conn.Read(b)
 	}
 	if n > 0 {
-		c.stay()
+		c.undoEviction()
 	}
 	return n, err
 }
 
 // watch reads until the client closes or net/http ends the wait.
-func (c *client) watch() error {
+func (c *clientConn) awaitClose() error {
 	var b [512]byte
 	for {
 		n, err := c.Conn.Read(b[:])
-		if len(c.ahead)+n > maxAhead {
-			c.spilled.Store(true)
+		if len(c.pipelined)+n > maxPipelinedBytes {
+			c.pipelineOverflowed.Store(true)
 		}
-		if !c.spilled.Load() {
-			c.ahead = append(c.ahead, b[:n]...)
+		if !c.pipelineOverflowed.Load() {
+			c.pipelined = append(c.pipelined, b[:n]...)
 		}
 		if err != nil {
 			return err
@@ -152,141 +152,141 @@
 }
 
 // SetReadDeadline is net/http's; it does not undo an eviction.
-func (c *client) SetReadDeadline(at time.Time) error {
-	c.group.mu.Lock()
-	defer c.group.mu.Unlock()
-	if c.leaving {
-		at = longAgo
+func (c *clientConn) SetReadDeadline(at time.Time) error {
+	c.owner.mu.Lock()
+	defer c.owner.mu.Unlock()
+	if c.isEvicted {
+		at = pastDeadline
 	}
 	return c.Conn.SetReadDeadline(at)
 }
 
-func (c *client) waits() bool {
-	c.group.mu.Lock()
-	defer c.group.mu.Unlock()
-	return c.in != nil || c.leaving
+func (c *clientConn) isWaiting() bool {
+	c.owner.mu.Lock()
+	defer c.owner.mu.Unlock()
+	return c.list != nil || c.isEvicted
 }
 
 // stay undoes an eviction.
-func (c *client) stay() {
-	c.group.mu.Lock()
-	defer c.group.mu.Unlock()
-	c.remain()
+func (c *clientConn) undoEviction() {
+	c.owner.mu.Lock()
+	defer c.owner.mu.Unlock()
+	c.undoEvictionLocked()
 }
 
 // remain is stay with the lock held.
-func (c *client) remain() {
-	if c.leaving {
-		c.leaving = false
-		c.group.leaving--
+func (c *clientConn) undoEvictionLocked() {
+	if c.isEvicted {
+		c.isEvicted = false
+		c.owner.evictedCount--
 		c.Conn.SetReadDeadline(time.Now().Add(readTimeout))
 	}
 }
 
 // state is http.Server's ConnState.
-func (g *clients) state(conn net.Conn, s http.ConnState) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	c := conn.(*client)
-	c.move(nil)
-	switch s {
+func (cc *clientConns) onConnState(conn net.Conn, state http.ConnState) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	c := conn.(*clientConn)
+	c.moveTo(nil)
+	switch state {
 	case http.StateNew:
-		g.conns[c] = struct{}{}
-		c.move(&g.silent)
+		cc.conns[c] = struct{}{}
+		c.moveTo(&cc.awaitingHead)
 	case http.StateActive:
-		c.remain() // the request was read before the eviction and told only now
+		c.undoEvictionLocked() // the request was read before the eviction and told only now
 	case http.StateIdle:
-		c.move(&g.idle)
+		c.moveTo(&cc.idleConns)
 	case http.StateClosed, http.StateHijacked:
-		delete(g.conns, c)
-		if c.leaving {
-			c.leaving = false
-			g.leaving--
+		delete(cc.conns, c)
+		if c.isEvicted {
+			c.isEvicted = false
+			cc.evictedCount--
 		}
 	}
-	g.evict()
+	cc.evictExcess()
 }
 
 // move puts a connection into a list, or into none.
-func (c *client) move(to *list.List) {
-	if c.in != nil {
-		c.in.Remove(c.place)
+func (c *clientConn) moveTo(to *list.List) {
+	if c.list != nil {
+		c.list.Remove(c.element)
 	}
-	if c.in = to; to != nil {
-		c.place, c.since = to.PushBack(c), time.Now()
+	if c.list = to; to != nil {
+		c.element, c.listedSince = to.PushBack(c), time.Now()
 	}
 }
 
 // run evicts as connections come of age, when no change of state would.
-func (g *clients) run(ctx context.Context) {
-	for every := time.Tick(evictEvery); ctx.Err() == nil; <-every {
-		g.mu.Lock()
-		g.evict()
-		g.mu.Unlock()
+func (cc *clientConns) evictPeriodically(ctx context.Context) {
+	for ticks := time.Tick(evictionInterval); ctx.Err() == nil; <-ticks {
+		cc.mu.Lock()
+		cc.evictExcess()
+		cc.mu.Unlock()
 	}
 }
 
 // count gives the connections that stay; it needs the lock.
-func (g *clients) count() int { return len(g.conns) - g.leaving }
+func (cc *clientConns) remainingCount() int { return len(cc.conns) - cc.evictedCount }
 
 // evict makes room beyond most as far as that is safe; it needs the lock.
-func (g *clients) evict() {
-	for g.count() > g.most && (g.evictFrom(&g.silent, silentAfter) || g.evictFrom(&g.idle, evictAfter)) {
+func (cc *clientConns) evictExcess() {
+	for cc.remainingCount() > cc.maxConns && (cc.evictOldest(&cc.awaitingHead, minSilenceBeforeEviction) || cc.evictOldest(&cc.idleConns, minIdleBeforeEviction)) {
 	}
 }
 
-func (g *clients) evictFrom(l *list.List, after time.Duration) bool {
-	oldest := l.Front()
+func (cc *clientConns) evictOldest(from *list.List, minAge time.Duration) bool {
+	oldest := from.Front()
 	if oldest == nil {
 		return false
 	}
-	c := oldest.Value.(*client)
-	if time.Since(c.since) < after {
+	c := oldest.Value.(*clientConn)
+	if time.Since(c.listedSince) < minAge {
 		return false
 	}
 	c.evict()
-	g.log.Debug("client connection evicted", "client", c.RemoteAddr().String(), "reason", "descriptors are short",
-		"idle", time.Since(c.since), "silent", l == &g.silent)
+	cc.log.Debug("client connection evicted", "client", c.RemoteAddr().String(), "reason", "descriptors are short",
+		"idle", time.Since(c.listedSince), "silent", from == &cc.awaitingHead)
 	return true
 }
 
 // evict needs the lock.
-func (c *client) evict() {
-	c.move(nil)
-	c.leaving = true
-	c.group.leaving++
-	c.Conn.SetReadDeadline(longAgo)
+func (c *clientConn) evict() {
+	c.moveTo(nil)
+	c.isEvicted = true
+	c.owner.evictedCount++
+	c.Conn.SetReadDeadline(pastDeadline)
 }
 
 // leave evicts all that have no request open; a request that has come by then is
 // answered. http.Server's Shutdown would cut it off.
-func (g *clients) leave() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for _, l := range []*list.List{&g.silent, &g.idle} {
-		for l.Len() > 0 {
-			l.Front().Value.(*client).evict()
+func (cc *clientConns) evictAllWaiting() {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	for _, conns := range []*list.List{&cc.awaitingHead, &cc.idleConns} {
+		for conns.Len() > 0 {
+			conns.Front().Value.(*clientConn).evict()
 		}
 	}
 }
 
 // full tells that open requests alone take up all there is.
-func (g *clients) full() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.count()-g.silent.Len()-g.idle.Len() > g.most
+func (cc *clientConns) isFull() bool {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	return cc.remainingCount()-cc.awaitingHead.Len()-cc.idleConns.Len() > cc.maxConns
 }
 
 // empty tells that no client is connected.
-func (g *clients) empty() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return len(g.conns) == 0
+func (cc *clientConns) isEmpty() bool {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	return len(cc.conns) == 0
 }
 
 // crowded tells that few descriptors are left.
-func (g *clients) crowded() bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.count() > g.most*3/4
+func (cc *clientConns) isNearLimit() bool {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	return cc.remainingCount() > cc.maxConns*3/4
 }
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -20,7 +20,7 @@
 
 // raw sends bytes on a connection of its own and gives what comes back until its
 // end: a whole answer's code, or 0 for a mere close.
-func raw(t *testing.T, addr, text string) (code int) {
+func sendRaw(t *testing.T, addr, text string) (code int) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -28,7 +28,7 @@
 	}
 	defer c.Close()
 	go io.WriteString(c, text) // the node may stop reading at any place
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(testTimeout))
 	in := bufio.NewReader(c)
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -49,47 +49,47 @@
 }
 
 // written gives a request as bytes, with further header lines.
-func written(t *testing.T, class string, lines ...string) string {
+func rawRequest(t *testing.T, class string, headerLines ...string) string {
 	t.Helper()
 	var b bytes.Buffer
-	if err := clientRequest(t, "api", class, "2.5").Write(&b); err != nil {
+	if err := newClientRequest(t, "api", class, "2.5").Write(&b); err != nil {
 		t.Fatal(err)
 	}
 	head, body, _ := strings.Cut(b.String(), "\r\n\r\n")
-	return head + "\r\n" + strings.Join(append(lines, ""), "\r\n") + "\r\n" + body
+	return head + "\r\n" + strings.Join(append(headerLines, ""), "\r\n") + "\r\n" + body
 }
 
 // Guards against clients that hold connections with what can't be used: each has an
 // error or a close in time, whatever it goes on sending, and nothing goes on to a
 // server. Two lengths could hide a second request in the first one's body (seen on
 // the bench: 72 such requests went on).
-func TestBadClientsAreTurnedAway(t *testing.T) {
-	s := newServer(t, says(ok("x"), true))
-	addr, _ := startNode(t, newRegistry(t, listed(s, "s1")))
-	hidden := written(t, "read")
-	noLength := strings.Replace(written(t, "book"), "Content-Length: 7\r\n", "", 1)
+func TestUnusableInputGetsAnErrorOrAClose(t *testing.T) {
+	s := newFakeServer(t, respondWith(okResponse("x"), true))
+	addr, _ := startNode(t, newFakeDiscovery(t, inServiceEntry(s, "s1")))
+	smuggled := rawRequest(t, "read")
+	noLength := strings.Replace(rawRequest(t, "book"), "Content-Length: 7\r\n", "", 1)
 	for name, c := range map[string]struct {
 		text  string
 		codes []int
 	}{
 		"silence":            {"", []int{0, 408}},
 		"half a head":        {"GET /read/1 HTTP/1.1\r\nHost: ap", []int{0, 408}},
-		"half a body":        {strings.TrimSuffix(written(t, "book"), "load"), []int{0, 408}},
+		"half a body":        {strings.TrimSuffix(rawRequest(t, "book"), "load"), []int{0, 408}},
 		"noise":              {"\x00\x01\xff\xfe\r\n\r\n\r\n", []int{0, 400}},
-		"head without end":   {strings.TrimSuffix(written(t, "read"), "\r\n") + strings.Repeat("X-Pad: pppppppppp\r\n", 20000), []int{0, 431}},
-		"line with no colon": {written(t, "read", "no colon"), []int{400}},
-		"both lengths":       {strings.Replace(written(t, "book", "Transfer-Encoding: chunked"), "payload", "0\r\n\r\n"+hidden, 1), []int{411}},
+		"head without end":   {strings.TrimSuffix(rawRequest(t, "read"), "\r\n") + strings.Repeat("X-Pad: pppppppppp\r\n", 20000), []int{0, 431}},
+		"line with no colon": {rawRequest(t, "read", "no colon"), []int{400}},
+		"both lengths":       {strings.Replace(rawRequest(t, "book", "Transfer-Encoding: chunked"), "payload", "0\r\n\r\n"+smuggled, 1), []int{411}},
 		"chunked":            {strings.Replace(noLength, "\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 1), []int{411}},
-		"negative length":    {strings.Replace(written(t, "book"), "Length: 7", "Length: -7", 1), []int{400}},
-		"length no number":   {strings.Replace(written(t, "book"), "Length: 7", "Length: ten", 1), []int{400}},
-		"two lengths":        {written(t, "book", "Content-Length: 9"), []int{400}},
-		"huge length":        {strings.Replace(written(t, "book"), "Length: 7", "Length: 99999999999999", 1), []int{0, 413}},
-		"60 MB":              {strings.Replace(written(t, "book"), "Length: 7", "Length: 62914560", 1) + strings.Repeat("b", 1<<20), []int{0, 413}},
+		"negative length":    {strings.Replace(rawRequest(t, "book"), "Length: 7", "Length: -7", 1), []int{400}},
+		"length no number":   {strings.Replace(rawRequest(t, "book"), "Length: 7", "Length: ten", 1), []int{400}},
+		"two lengths":        {rawRequest(t, "book", "Content-Length: 9"), []int{400}},
+		"huge length":        {strings.Replace(rawRequest(t, "book"), "Length: 7", "Length: 99999999999999", 1), []int{0, 413}},
+		"60 MB":              {strings.Replace(rawRequest(t, "book"), "Length: 7", "Length: 62914560", 1) + strings.Repeat("b", 1<<20), []int{0, 413}},
 		"hundreds at once":   {strings.Repeat("GET /nope/1 HTTP/1.1\r\nHost: api\r\n\r\n", 500), []int{400}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			code := raw(t, addr, c.text)
+			code := sendRaw(t, addr, c.text)
 			for _, want := range c.codes {
 				if code == want {
 					return
@@ -107,16 +107,16 @@
 
 // Guards rules 1 and 2: a second request with an open or late id must not share
 // the first one's answer, and must not disturb it.
-func TestAnIDIsTakenOnce(t *testing.T) {
-	came, release := make(chan struct{}, 1), make(chan struct{})
-	s := newServer(t, func(_ int64, r *http.Request, c net.Conn) bool {
-		came <- struct{}{}
+func TestDuplicateRequestIDGetsAConflict(t *testing.T) {
+	arrived, release := make(chan struct{}, 1), make(chan struct{})
+	s := newFakeServer(t, func(_ int64, r *http.Request, c net.Conn) bool {
+		arrived <- struct{}{}
 		<-release
-		io.WriteString(c, ok("first"))
+		io.WriteString(c, okResponse("first"))
 		return true
 	})
-	addr, _ := startNode(t, newRegistry(t, listed(s, "s1")))
-	first, second := clientRequest(t, addr, "book", "2.9"), clientRequest(t, addr, "read", "2.9")
+	addr, _ := startNode(t, newFakeDiscovery(t, inServiceEntry(s, "s1")))
+	first, second := newClientRequest(t, addr, "book", "2.9"), newClientRequest(t, addr, "read", "2.9")
 	second.Header.Set("X-Correlation-Id", first.Header.Get("X-Correlation-Id"))
 	done := make(chan string, 1)
 	go func() {
@@ -129,15 +129,15 @@
 		text, _ := io.ReadAll(resp.Body)
 		done <- fmt.Sprint(resp.StatusCode, " ", string(text))
 	}()
-	<-came
-	if code, _, _ := do(t, second); code != http.StatusConflict {
+	<-arrived
+	if code, _, _ := doRequest(t, second); code != http.StatusConflict {
 		t.Errorf("answered %d while the first is open, want 409", code)
 	}
 	close(release)
 	if got := <-done; got != "200 first" {
 		t.Errorf("the first is answered %s, want 200 first", got)
 	}
-	if code, _, _ := do(t, second.Clone(t.Context())); code != http.StatusConflict {
+	if code, _, _ := doRequest(t, second.Clone(t.Context())); code != http.StatusConflict {
 		t.Errorf("answered %d right after the first, want 409", code)
 	}
 	if n := s.requests.Load(); n != 1 {
@@ -145,29 +145,29 @@
 	}
 }
 
-func TestRecentIDsForgetInTheEnd(t *testing.T) {
+func TestRecentIDsExpire(t *testing.T) {
 	ids := newRecentIDs(nil)
-	if !ids.add(0, "a") || ids.add(ids.every, "a") {
+	if !ids.add(0, "a") || ids.add(ids.generationLength, "a") {
 		t.Error("an id must be new once, and known for a while")
 	}
 	for i := range 1000 {
-		ids.add(time.Duration(i)*ids.every/100, fmt.Sprint("b", i))
+		ids.add(time.Duration(i)*ids.generationLength/100, fmt.Sprint("b", i))
 	}
-	if n := len(ids.young) + len(ids.old); n > 250 {
+	if n := len(ids.current) + len(ids.previous); n > 250 {
 		t.Errorf("%d ids held, want those of two generations", n)
 	}
-	if !ids.add(100*ids.every, "a") {
+	if !ids.add(100*ids.generationLength, "a") {
 		t.Error("an id is held for good")
 	}
 }
 
 // Guards against a node that silent connections shut: new ones never became idle,
 // so hundreds filled the cap and stalled the listener for seconds.
-func TestSilentConnectionsMakeRoom(t *testing.T) {
-	s := newServer(t, says(ok("x"), true))
-	addr, _ := startNode(t, newRegistry(t, listed(s, "s1")))
+func TestSilentConnectionsAreEvictedForNewOnes(t *testing.T) {
+	s := newFakeServer(t, respondWith(okResponse("x"), true))
+	addr, _ := startNode(t, newFakeDiscovery(t, inServiceEntry(s, "s1")))
 	var silent []net.Conn
-	for range 3 * mostClients {
+	for range 3 * testMaxClientConns {
 		c, _ := dialClient(t, addr)
 		silent = append(silent, c)
 	}
@@ -176,7 +176,7 @@
 		t.Errorf("answered %d, %v behind silent connections; want 200", code, err)
 	}
 	for _, c := range silent {
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(testTimeout))
 		if _, err := c.Read(make([]byte, 1)); err == nil {
 			t.Fatal("a silent connection is sent something")
 		} else if ne, ok := err.(net.Error); ok && ne.Timeout() {
@@ -188,43 +188,43 @@
 // Guards rule 1 where few descriptors are left: the error is flushed before the
 // connection is cut, and must be whole all the same (seen on the bench: a usual
 // client whose id another had taken got a chunked answer with no end).
-func TestCrowdedErrorIsWhole(t *testing.T) {
-	s := newServer(t, says(ok("x"), true))
-	addr, _ := startNode(t, newRegistry(t, listed(s, "s1")))
-	for range mostClients*3/4 + 1 {
+func TestErrorNearTheConnectionLimitIsComplete(t *testing.T) {
+	s := newFakeServer(t, respondWith(okResponse("x"), true))
+	addr, _ := startNode(t, newFakeDiscovery(t, inServiceEntry(s, "s1")))
+	for range testMaxClientConns*3/4 + 1 {
 		_, ask := dialClient(t, addr)
 		if code, err := ask(); code != http.StatusOK {
 			t.Fatalf("answered %d, %v; want 200", code, err)
 		}
 	}
-	if code := raw(t, addr, "GET /nope/1 HTTP/1.1\r\nHost: api\r\n\r\n"); code != http.StatusBadRequest {
+	if code := sendRaw(t, addr, "GET /nope/1 HTTP/1.1\r\nHost: api\r\n\r\n"); code != http.StatusBadRequest {
 		t.Errorf("answered %d, want 400", code)
 	}
 }
 
 // Guards rule 1 when a connection makes room for a new one: one in use lately is
 // left alone, and a request that has come by then is read, not cut off.
-func TestEvictionLosesToData(t *testing.T) {
-	g := newClients(1)
-	add := func() (*client, net.Conn) {
+func TestReceivedDataUndoesAnEviction(t *testing.T) {
+	group := newClientConns(1)
+	add := func() (*clientConn, net.Conn) {
 		ours, theirs := net.Pipe()
 		t.Cleanup(func() { ours.Close(); theirs.Close() })
-		c := &client{Conn: ours, group: g}
-		g.state(c, http.StateNew)
-		g.state(c, http.StateIdle)
+		c := &clientConn{Conn: ours, owner: group}
+		group.onConnState(c, http.StateNew)
+		group.onConnState(c, http.StateIdle)
 		return c, theirs
 	}
 	first, peer := add()
 	second, _ := add()
-	if g.leaving != 0 {
+	if group.evictedCount != 0 {
 		t.Error("a connection in use lately is evicted")
 	}
-	first.since = time.Now().Add(-2 * evictAfter)
-	g.state(second, http.StateActive)
-	if !first.leaving || second.leaving {
+	first.listedSince = time.Now().Add(-2 * minIdleBeforeEviction)
+	group.onConnState(second, http.StateActive)
+	if !first.isEvicted || second.isEvicted {
 		t.Fatal("the longest idle connection stays")
 	}
-	if first.SetReadDeadline(time.Time{}); !first.leaving { // as net/http does
+	if first.SetReadDeadline(time.Time{}); !first.isEvicted { // as net/http does
 		t.Error("a new time limit undoes the eviction")
 	}
 	go io.WriteString(peer, "GET")
@@ -233,52 +233,52 @@
 		n, _ := first.Read(b)
 		return string(b[:n]) == "GET"
 	})
-	if first.leaving || g.count() != 2 {
+	if first.isEvicted || group.remainingCount() != 2 {
 		t.Error("the connection is still to go")
 	}
-	g.state(first, http.StateIdle)
-	first.since = time.Now().Add(-2 * evictAfter)
-	g.state(second, http.StateActive)
-	if _, err := first.Read(make([]byte, 1)); err == nil || !first.leaving {
+	group.onConnState(first, http.StateIdle)
+	first.listedSince = time.Now().Add(-2 * minIdleBeforeEviction)
+	group.onConnState(second, http.StateActive)
+	if _, err := first.Read(make([]byte, 1)); err == nil || !first.isEvicted {
 		t.Errorf("read %v, want the wait of an evicted connection to end", err)
 	}
-	g.state(first, http.StateClosed)
-	if g.count() != 1 || g.leaving != 0 {
-		t.Errorf("%d connections, %d leaving; want 1, 0", g.count(), g.leaving)
+	group.onConnState(first, http.StateClosed)
+	if group.remainingCount() != 1 || group.evictedCount != 0 {
+		t.Errorf("%d connections, %d leaving; want 1, 0", group.remainingCount(), group.evictedCount)
 	}
 }
 
 // Guards rule 1 at the end of a drain: idle connections end, but one on which a
 // request has come by then is left to answer it.
-func TestLeavingLosesToData(t *testing.T) {
-	g := newClients(8)
-	var conns [2]*client
+func TestReceivedDataUndoesAnEvictionByDrain(t *testing.T) {
+	group := newClientConns(8)
+	var conns [2]*clientConn
 	var peers [2]net.Conn
 	for i := range conns {
 		ours, theirs := net.Pipe()
 		defer ours.Close()
 		defer theirs.Close()
-		conns[i], peers[i] = &client{Conn: ours, group: g}, theirs
-		g.state(conns[i], http.StateNew)
-		g.state(conns[i], http.StateIdle)
+		conns[i], peers[i] = &clientConn{Conn: ours, owner: group}, theirs
+		group.onConnState(conns[i], http.StateNew)
+		group.onConnState(conns[i], http.StateIdle)
 	}
-	g.leave()
+	group.evictAllWaiting()
 	go io.WriteString(peers[0], "GET")
 	waitFor(t, "data that wins", func() bool {
 		n, _ := conns[0].Read(make([]byte, 3))
 		return n == 3
 	})
-	if _, err := conns[1].Read(make([]byte, 1)); err == nil || g.leaving != 1 {
-		t.Errorf("read %v, %d leaving; want the other connection to go", err, g.leaving)
+	if _, err := conns[1].Read(make([]byte, 1)); err == nil || group.evictedCount != 1 {
+		t.Errorf("read %v, %d leaving; want the other connection to go", err, group.evictedCount)
 	}
 }
 
 // startFront runs a front with one server behind it, and hands what net/http says of
 // connections to state.
-func startFront(t *testing.T, s *server, state func(*clients, net.Conn, http.ConnState)) (l *loop, addr string) {
+func startFront(t *testing.T, s *fakeServer, state func(*clientConns, net.Conn, http.ConnState)) (l *loop, addr string) {
 	t.Helper()
-	site := siteOf(t, settings)
-	l, err := newLoop(site.Settings, 1, newClock(), newUpstream(time.Hour, patience, 8), newCallQueue())
+	site := parseTestSite(t, testSettings)
+	l, err := newLoop(site.Settings, 1, newClock(), newUpstream(time.Hour, testTimeout, 8), newCallQueue())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -286,45 +286,45 @@
 	l.post(func() {
 		l.applyNewerUpdate(policy.ListWhole, []policy.Entry{{Server: 1, State: policy.StateInService}}, []string{s.addr})
 	})
-	g := newClients(8)
+	group := newClientConns(8)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	server := http.Server{
-		Handler:     newFront(l, site, g, 1<<20, func() bool { return true }),
-		ReadTimeout: patience, ConnContext: g.context,
-		ConnState: func(c net.Conn, s http.ConnState) { state(g, c, s) },
+		Handler:     newFront(l, site, group, 1<<20, func() bool { return true }),
+		ReadTimeout: testTimeout, ConnContext: group.connContext,
+		ConnState: func(c net.Conn, s http.ConnState) { state(group, c, s) },
 	}
-	go server.Serve(g.listener(listener))
+	go server.Serve(group.listener(listener))
 	t.Cleanup(func() { server.Close() })
 	return l, listener.Addr().String()
 }
 
 // Guards the term that nothing begins 0.1 s after its client went, for a client that had sent
 // on behind its request: net/http looks no further than the first byte of that.
-func TestClientThatSentOnAndWentIsMissed(t *testing.T) {
-	more := written(t, "book") + written(t, "read")
-	for name, behind := range map[string]string{
-		"a byte": "\n", "whole requests": more, "more than is kept": strings.Repeat(more, 200),
+func TestDisconnectOfAPipeliningClientIsDetected(t *testing.T) {
+	twoRequests := rawRequest(t, "book") + rawRequest(t, "read")
+	for name, pipelined := range map[string]string{
+		"a byte": "\n", "whole requests": twoRequests, "more than is kept": strings.Repeat(twoRequests, 200),
 	} {
 		t.Run(name, func(t *testing.T) {
-			came, hold := make(chan struct{}, 8), make(chan struct{})
-			s := newServer(t, func(int64, *http.Request, net.Conn) bool { came <- struct{}{}; <-hold; return false })
-			l, addr := startFront(t, s, (*clients).state)
+			arrived, hold := make(chan struct{}, 8), make(chan struct{})
+			s := newFakeServer(t, func(int64, *http.Request, net.Conn) bool { arrived <- struct{}{}; <-hold; return false })
+			l, addr := startFront(t, s, (*clientConns).onConnState)
 			c, err := net.Dial("tcp", addr)
 			if err != nil {
 				t.Fatal(err)
 			}
-			io.WriteString(c, written(t, "read"))
-			<-came
-			io.WriteString(c, behind)
-			began := time.Now()
+			io.WriteString(c, rawRequest(t, "read"))
+			<-arrived
+			io.WriteString(c, pipelined)
+			closedAt := time.Now()
 			c.Close()
 			open := make(chan int)
 			waitFor(t, "end of the request", func() bool { l.post(func() { open <- len(l.requests) }); return <-open == 0 })
 			close(hold) // a safe request would be sent again now
-			if time.Since(began) > 2*time.Second {
+			if time.Since(closedAt) > 2*time.Second {
 				t.Error("it ended with its time, not with its client")
 			}
 			if n := s.requests.Load(); n != 1 {
@@ -335,20 +335,20 @@
 }
 
 // What a client sends behind an open request is read once that is answered, up to a limit.
-func TestWhatComesBehindARequestWaitsForItsAnswer(t *testing.T) {
-	came, hold := make(chan struct{}, 8), make(chan struct{})
-	s := newServer(t, func(n int64, _ *http.Request, c net.Conn) bool {
-		came <- struct{}{}
+func TestPipelinedDataIsReadAfterTheAnswer(t *testing.T) {
+	arrived, hold := make(chan struct{}, 8), make(chan struct{})
+	s := newFakeServer(t, func(n int64, _ *http.Request, c net.Conn) bool {
+		arrived <- struct{}{}
 		if n == 1 {
 			<-hold
 		}
-		io.WriteString(c, ok(fmt.Sprint(n)))
+		io.WriteString(c, okResponse(fmt.Sprint(n)))
 		return true
 	})
-	conns := make(chan *client, 1)
-	_, addr := startFront(t, s, func(g *clients, c net.Conn, state http.ConnState) {
-		if g.state(c, state); state == http.StateNew {
-			conns <- c.(*client)
+	conns := make(chan *clientConn, 1)
+	_, addr := startFront(t, s, func(group *clientConns, c net.Conn, state http.ConnState) {
+		if group.onConnState(c, state); state == http.StateNew {
+			conns <- c.(*clientConn)
 		}
 	})
 	c, err := net.Dial("tcp", addr)
@@ -356,9 +356,9 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	in := bufio.NewReader(c)
-	answer := func(want string, closes bool) {
+	expectAnswer := func(want string, closes bool) {
 		t.Helper()
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil {
@@ -369,22 +369,22 @@
 			t.Errorf("answered %q, %v, closes %v; want %q, closes %v", body, err, resp.Close, want, closes)
 		}
 	}
-	io.WriteString(c, written(t, "read"))
-	<-came
-	io.WriteString(c, written(t, "book"))
+	io.WriteString(c, rawRequest(t, "read"))
+	<-arrived
+	io.WriteString(c, rawRequest(t, "book"))
 	close(hold)
-	answer("1", false)
-	answer("2", false)
+	expectAnswer("1", false)
+	expectAnswer("2", false)
 	hold = make(chan struct{})
 	s.requests.Store(0)
-	<-came
-	io.WriteString(c, written(t, "read"))
-	<-came
-	go io.WriteString(c, strings.Repeat(written(t, "read"), 2*maxAhead/100))
-	ours := <-conns
-	waitFor(t, "more than is kept", ours.spilled.Load)
+	<-arrived
+	io.WriteString(c, rawRequest(t, "read"))
+	<-arrived
+	go io.WriteString(c, strings.Repeat(rawRequest(t, "read"), 2*maxPipelinedBytes/100))
+	nodeConn := <-conns
+	waitFor(t, "more than is kept", nodeConn.pipelineOverflowed.Load)
 	close(hold)
-	answer("1", true)
+	expectAnswer("1", true)
 	if n := s.requests.Load(); n != 1 {
 		t.Errorf("%d attempts, want 1", n)
 	}
@@ -394,36 +394,36 @@
 // net/http's word that a request is open: the client was answered 200 with no body while a
 // server worked on what it had asked for.
 func TestRequestThatCrossesAnEvictionIsAnswered(t *testing.T) {
-	came, hold := make(chan struct{}), make(chan struct{})
-	s := newServer(t, func(_ int64, _ *http.Request, c net.Conn) bool {
-		close(came)
+	arrived, hold := make(chan struct{}), make(chan struct{})
+	s := newFakeServer(t, func(_ int64, _ *http.Request, c net.Conn) bool {
+		close(arrived)
 		<-hold
-		io.WriteString(c, ok("mine"))
+		io.WriteString(c, okResponse("mine"))
 		return true
 	})
-	left := make(chan struct{})
-	_, addr := startFront(t, s, func(g *clients, c net.Conn, state http.ConnState) {
+	evicted := make(chan struct{})
+	_, addr := startFront(t, s, func(group *clientConns, c net.Conn, state http.ConnState) {
 		if state == http.StateActive { // the whole request was read
-			g.leave()
-			close(left)
+			group.evictAllWaiting()
+			close(evicted)
 		}
-		g.state(c, state)
+		group.onConnState(c, state)
 	})
-	type said struct {
+	type receivedAnswer struct {
 		code int
 		body string
 	}
-	answered := make(chan said, 1)
+	answered := make(chan receivedAnswer, 1)
 	go func() {
-		code, _, body := do(t, clientRequest(t, addr, "read", "2.9"))
-		answered <- said{code, body}
+		code, _, body := doRequest(t, newClientRequest(t, addr, "read", "2.9"))
+		answered <- receivedAnswer{code, body}
 	}()
-	<-left
+	<-evicted
 	select {
-	case <-came:
+	case <-arrived:
 	case a := <-answered:
 		t.Fatalf("answered %d %q before a server had the request", a.code, a.body)
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("neither sent on nor answered")
 	}
 	select {
@@ -442,19 +442,19 @@
 
 // Guards rule 1 where a client ends its sending and still reads: it counts as gone, and is
 // told nothing, least of all a 200 that no server made.
-func TestClientThatEndsItsSendingIsToldNothing(t *testing.T) {
+func TestHalfClosedClientGetsNoAnswer(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
-	s := newServer(t, func(int64, *http.Request, net.Conn) bool { <-hold; return false })
-	addr, _ := startNode(t, newRegistry(t, listed(s, "s1")))
+	s := newFakeServer(t, func(int64, *http.Request, net.Conn) bool { <-hold; return false })
+	addr, _ := startNode(t, newFakeDiscovery(t, inServiceEntry(s, "s1")))
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	io.WriteString(c, written(t, "book"))
+	io.WriteString(c, rawRequest(t, "book"))
 	c.(*net.TCPConn).CloseWrite()
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(testTimeout))
 	if b, err := io.ReadAll(c); len(b) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("told %q, %v; want a close", b, err)
 	}
@@ -462,29 +462,29 @@
 
 // Guards the memory limit: bodies are bounded together, by their declared lengths
 // and before any of it is read.
-func TestLargeBodiesHaveABudget(t *testing.T) {
-	f := newFront(&loop{clock: newClock()}, wire.Site{Classes: []string{"book"}}, newClients(8), 10<<10, func() bool { return true })
-	f.site.Settings.Classes = siteOf(t, settings).Settings.Classes[2:]
+func TestLargeBodiesShareAByteBudget(t *testing.T) {
+	f := newFront(&loop{clock: newClock()}, wire.Site{Classes: []string{"book"}}, newClientConns(8), 10<<10, func() bool { return true })
+	f.site.Settings.Classes = parseTestSite(t, testSettings).Settings.Classes[2:]
 	ask := func() (code int, read int64) {
 		body := &countingReader{}
-		r := clientRequest(t, "api", "book", "2.5")
+		r := newClientRequest(t, "api", "book", "2.5")
 		r.RequestURI, r.Body, r.ContentLength = "/book/1", body, 6<<10
 		r.URL.Path, r.URL.RawPath = "/book/1", ""
 		w := httptest.NewRecorder()
 		f.ServeHTTP(w, r)
 		return w.Code, body.n
 	}
-	if !f.bodies.take(6 << 10) {
+	if !f.bodyBudget.reserve(6 << 10) {
 		t.Fatal("no room at all")
 	}
 	if code, read := ask(); code != http.StatusServiceUnavailable || read != 0 {
 		t.Errorf("answered %d after %d bytes, want a refusal unread", code, read)
 	}
-	f.bodies.giveBack(6 << 10)
+	f.bodyBudget.release(6 << 10)
 	if code, read := ask(); code != http.StatusRequestTimeout || read == 0 {
 		t.Errorf("answered %d after %d bytes, want the short body to be read", code, read)
 	}
-	if n := f.bodies.held.Load(); n != 0 {
+	if n := f.bodyBudget.used.Load(); n != 0 {
 		t.Errorf("%d bytes are still booked", n)
 	}
 }
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -143,10 +143,10 @@
 func (d *discoveryClient) attachTo(l *loop) {
 	d.gate = l.gate
 	d.onList = func(news listUpdate) {
-		l.await(func() { l.members(news) })
+		l.postAndWait(func() { l.applyListUpdate(news) })
 	}
 	d.onCallEnd = func(end policy.CallEnd) {
-		l.await(func() { l.balancer.CallEnded(l.now, end) })
+		l.postAndWait(func() { l.balancer.CallEnded(l.now, end) })
 	}
 	d.onCallProgress = func(id policy.CallID, bytes int64) {
 		l.post(func() { l.balancer.CallProgress(l.now, id, bytes) })
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -112,7 +112,7 @@
 	t.Helper()
 	service := httptest.NewServer(answers)
 	defer service.Close()
-	settingsText := settings
+	settingsText := testSettings
 	if onRequest {
 		settingsText = strings.Replace(settingsText, "{", `{"RegistryMode": "on_request",`, 1)
 	}
@@ -120,7 +120,7 @@
 	defer stop()
 	var logOutput bytes.Buffer
 	var history callHistory
-	client := newDiscoveryClient(service.Listener.Addr().String(), siteOf(t, settingsText), newClock(), slog.New(slog.NewTextHandler(&logOutput, nil)))
+	client := newDiscoveryClient(service.Listener.Addr().String(), parseTestSite(t, settingsText), newClock(), slog.New(slog.NewTextHandler(&logOutput, nil)))
 	client.onList = func(update listUpdate) {
 		if update.kind == policy.ListWhole {
 			history.servers = update.entries
@@ -229,7 +229,7 @@
 	}))
 	defer service.Close()
 	defer close(release)
-	client := newDiscoveryClient(service.Listener.Addr().String(), siteOf(t, settings), newClock(), slog.New(slog.DiscardHandler))
+	client := newDiscoveryClient(service.Listener.Addr().String(), parseTestSite(t, testSettings), newClock(), slog.New(slog.DiscardHandler))
 	client.responseTimeout = 500 * time.Millisecond
 	client.onList = func(listUpdate) { t.Error("half of a list is handed on") }
 	for _, whole := range []bool{true, false} {
@@ -245,7 +245,7 @@
 // Calls are answered in any order: an answer that was overtaken by a newer one says nothing new, and is no
 // failure.
 func TestLateAnswerIsIgnored(t *testing.T) {
-	client := newDiscoveryClient("127.0.0.1:1", siteOf(t, settings), newClock(), slog.New(slog.DiscardHandler))
+	client := newDiscoveryClient("127.0.0.1:1", parseTestSite(t, testSettings), newClock(), slog.New(slog.DiscardHandler))
 	var published []policy.ListKind
 	client.onList = func(update listUpdate) { published = append(published, update.kind) }
 	var ends []policy.CallEnd
--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -40,17 +40,17 @@
 	} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
-			s := newServer(t, says(ok("x"), true))
+			s := newFakeServer(t, respondWith(okResponse("x"), true))
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			n := startNodeOn(t, &failingListener{Listener: l, err: errno}, newRegistry(t, listed(s, "s1")), ConfigReloader{})
-			n.awaitUp(t)
+			n := startNodeOn(t, &failingListener{Listener: l, err: errno}, newFakeDiscovery(t, inServiceEntry(s, "s1")), ConfigReloader{})
+			n.awaitReady(t)
 			for range 3 { // each on a connection of its own
-				r := clientRequest(t, n.addr, "read", "2.5")
+				r := newClientRequest(t, n.addr, "read", "2.5")
 				r.Close = true
-				if code, _, _ := do(t, r); code != http.StatusOK {
+				if code, _, _ := doRequest(t, r); code != http.StatusOK {
 					t.Errorf("answered %d", code)
 				}
 			}
@@ -64,13 +64,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := startNodeOn(t, &failingListener{Listener: l, err: syscall.EINVAL}, newRegistry(t), ConfigReloader{})
+	n := startNodeOn(t, &failingListener{Listener: l, err: syscall.EINVAL}, newFakeDiscovery(t), ConfigReloader{})
 	select {
 	case <-n.ended:
 		if !errors.Is(n.err, syscall.EINVAL) {
 			t.Errorf("ended with %v", n.err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("does not end")
 	}
 }
@@ -105,7 +105,7 @@
 // failingDialer fails so many times with an error and then dials.
 func failingDialer(failures int64, errno syscall.Errno) dialer {
 	var calls atomic.Int64
-	dial := tcpDialer(patience)
+	dial := tcpDialer(testTimeout)
 	return func(ctx context.Context, addr string) (net.Conn, error) {
 		if calls.Add(1) <= failures {
 			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
@@ -135,14 +135,14 @@
 		{syscall.EHOSTUNREACH, 1, policy.ConnectFailed},
 	} {
 		t.Run(fmt.Sprint(c.errno.Error(), " ", c.failures), func(t *testing.T) {
-			s := newServer(t, says(ok("x"), true))
-			u := testUpstream(t, 8)
+			s := newFakeServer(t, respondWith(okResponse("x"), true))
+			u := newTestUpstream(t, 8)
 			u.dialer = failingDialer(c.failures, c.errno)
-			p := u.roundTrip(t.Context(), at(s.addr), get(), time.Second, yes)
+			p := u.roundTrip(t.Context(), incarnationAt(s.addr), getRequest(), time.Second, allowWrite)
 			if p.status != c.want {
 				t.Errorf("status %v, want %v", p.status, c.want)
 			}
-			if open := u.open; c.want != policy.OK && open != 0 {
+			if open := u.openConns; c.want != policy.OK && open != 0 {
 				t.Errorf("%d connections are counted as open", open)
 			}
 		})
--- a/internal/node/gate_test.go
+++ b/internal/node/gate_test.go
@@ -18,8 +18,8 @@
 func TestNoAttemptBeginsAtAServerThatIsBeingTakenOut(t *testing.T) {
 	gate := newSendGate()
 	begins := func(server policy.ServerID) bool {
-		a := attempt{clock: newClock(), gate: gate, request: &request{}, server: server}
-		return a.begin()
+		a := attempt{clock: newClock(), gate: gate, request: &request{}, serverID: server}
+		return a.beginWrite()
 	}
 	entries := []policy.Entry{{Server: 1, State: policy.StateDraining}, {Server: 2, State: policy.StateInService}, {Server: 3, State: policy.StateGone}}
 	first, second := gate.closeFor(entries, false), gate.closeFor(entries[:1], false)
@@ -50,7 +50,7 @@
 				io.WriteString(w, text)
 			}))
 			defer service.Close()
-			client := newDiscoveryClient(service.Listener.Addr().String(), siteOf(t, settings), newClock(), slog.New(slog.DiscardHandler))
+			client := newDiscoveryClient(service.Listener.Addr().String(), parseTestSite(t, testSettings), newClock(), slog.New(slog.DiscardHandler))
 			client.hasVersion, client.version = !strings.Contains(text, `"all":true`), 41
 			client.execute(t.Context(), callCommand{call: policy.Call{ID: 1}}) // nothing takes the reply
 			for deadline := time.Now().Add(time.Second); client.gate.admits(serverID(removed)); time.Sleep(time.Millisecond) {
@@ -77,12 +77,12 @@
 	} {
 		l := newTestLoop(t)
 		var text bytes.Buffer
-		l.log = newRequestLog(slog.New(slog.NewTextHandler(&text, nil)))
+		l.requestLog = newRequestLog(slog.New(slog.NewTextHandler(&text, nil)))
 		l.applyNewerUpdate(policy.ListWhole, []policy.Entry{{Server: 1, State: policy.StateInService}}, []string{"one"})
 		l.applyNewerUpdate(policy.ListChanges, []policy.Entry{{Server: 1, State: policy.StateDraining}}, []string{"one"})
-		a := &attempt{request: &request{id: 7, answered: true}, server: 1, cancel: func() {}}
-		a.begun.Store(int64(l.now + c.begun))
-		l.outcome(a, policy.OK, l.now)
+		a := &attempt{request: &request{id: 7, answered: true}, serverID: 1, cancel: func() {}}
+		a.beganAt.Store(int64(l.now + c.begun))
+		l.reportOutcome(a, policy.OK, l.now)
 		if got := l.metrics.drainViolations.Load(); got != c.want || strings.Contains(text.String(), "drain violation") != (c.want > 0) {
 			t.Errorf("%s: %d violations, log %q; want %d", name, got, &text, c.want)
 		}
@@ -94,7 +94,7 @@
 	l := newTestLoop(t)
 	l.metrics.drainViolations.Add(3)
 	scrape := func(classes ...string) string {
-		f := newFront(l, wire.Site{Classes: classes}, newClients(8), 0, func() bool { return true })
+		f := newFront(l, wire.Site{Classes: classes}, newClientConns(8), 0, func() bool { return true })
 		w := httptest.NewRecorder()
 		f.ServeHTTP(w, httptest.NewRequest(http.MethodGet, metricsPath, nil))
 		return w.Body.String()
--- a/internal/node/hollow_fleet_test.go
+++ b/internal/node/hollow_fleet_test.go
@@ -210,7 +210,7 @@
 // await waits until every node has a version.
 func (f *headlessFleet) awaitVersion(rev int64) {
 	f.tb.Helper()
-	timeout := time.NewTimer(patience)
+	timeout := time.NewTimer(testTimeout)
 	defer timeout.Stop()
 	for {
 		lowest, progress := f.propagation.lowestVersion()
--- a/internal/node/list_cost_test.go
+++ b/internal/node/list_cost_test.go
@@ -39,12 +39,12 @@
 			var handler neverEndingDiscovery
 			service := httptest.NewServer(&handler)
 			t.Cleanup(func() { service.CloseClientConnections(); service.Close() })
-			site := siteOf(t, settings)
+			site := parseTestSite(t, testSettings)
 			settings := site.Settings
 			settings.LongPolling, settings.ListOnRequest = true, onRequest
 			c := newClock()
 			client := newDiscoveryClient(service.Listener.Addr().String(), site, c, slog.New(slog.DiscardHandler))
-			l, err := newLoop(settings, 1, c, newUpstream(time.Hour, patience, 8), client.commands)
+			l, err := newLoop(settings, 1, c, newUpstream(time.Hour, testTimeout, 8), client.commands)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -70,7 +70,7 @@
 	l := newTestLoop(t)
 	var text bytes.Buffer
 	log := slog.New(slog.NewTextHandler(&text, nil))
-	l.log = newRequestLog(log)
+	l.requestLog = newRequestLog(log)
 	l.balancer.Observe(decisionLog{log, l})
 	list := wholeList(t, servers)
 	draining := make([]policy.Entry, servers)
@@ -78,9 +78,9 @@
 		draining[i] = e
 		draining[i].State = policy.StateDraining
 	}
-	l.members(updateAt(policy.ListWhole, 11, draining, list.endpoints...))
+	l.applyListUpdate(updateAt(policy.ListWhole, 11, draining, list.endpoints...))
 	text.Reset()
-	l.members(updateAt(policy.ListWhole, 10, list.entries, list.endpoints...))
+	l.applyListUpdate(updateAt(policy.ListWhole, 10, list.entries, list.endpoints...))
 	if lines := bytes.Count(text.Bytes(), []byte("\n")); lines > 4*maxLoggedServers {
 		t.Errorf("a list of %d servers is logged in %d lines, %d bytes", servers, lines, text.Len())
 	}
--- a/internal/node/list_scale_test.go
+++ b/internal/node/list_scale_test.go
@@ -27,7 +27,7 @@
 		tb.Fatal(err)
 	}
 	client.onList = func(update listUpdate) {
-		l.step(func() { l.members(update) })
+		l.runEvent(func() { l.applyListUpdate(update) })
 	}
 	return l, client
 }
--- a/internal/node/lives_test.go
+++ b/internal/node/lives_test.go
@@ -20,7 +20,7 @@
 // sentTo submits requests to a loop that nobody runs and tells the addresses that their first attempts go to.
 func firstAttemptAddrs(t *testing.T, l *loop) (addresses []string) {
 	t.Helper()
-	if l.lastID == 0 { // no attempt uses it yet
+	if l.lastRequestID == 0 { // no attempt uses it yet
 		l.upstream.dialer = func(ctx context.Context, _ string) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
@@ -32,9 +32,9 @@
 	}
 	for _, r := range requests {
 		for _, a := range r.attempts {
-			addresses = append(addresses, l.servers[a.server].addr)
+			addresses = append(addresses, l.servers[a.serverID].addr)
 		}
-		l.step(func() { l.left(r) })
+		l.runEvent(func() { l.clientDisconnected(r) })
 	}
 	slices.Sort(addresses)
 	return slices.Compact(addresses)
@@ -42,9 +42,9 @@
 
 // submitRead submits a request of a class that is safe to repeat.
 func submitRead(l *loop) (r *request) {
-	outgoing := &message{method: http.MethodGet, uri: "/read", header: http.Header{}, deadline: l.now + time.Second}
-	outgoing.header.Set("X-Correlation-Id", strconv.FormatInt(lastID.Add(1), 10))
-	l.step(func() { r = l.submit(policy.Request{}, outgoing, make(chan answer, 1)) })
+	outgoing := &upstreamRequest{method: http.MethodGet, uri: "/read", header: http.Header{}, clientDeadline: l.now + time.Second}
+	outgoing.header.Set("X-Correlation-Id", strconv.FormatInt(lastClientRequestID.Add(1), 10))
+	l.runEvent(func() { r = l.submit(policy.Request{}, outgoing, make(chan finalAnswer, 1)) })
 	return r
 }
 
@@ -65,31 +65,31 @@
 	startedAt := clockOrigin
 	for name, play := range map[string]func(l *loop){
 		"changes name the former life behind the new one": func(l *loop) {
-			l.members(updateAt(policy.ListChanges, 11, []policy.Entry{
+			l.applyListUpdate(updateAt(policy.ListChanges, 11, []policy.Entry{
 				incarnationOf(policy.StateInService, startedAt), incarnationOf(policy.StateDraining, startedAt-time.Hour)}, present, former))
 		},
 		"changes name the end of the former life behind the new one": func(l *loop) {
-			l.members(updateAt(policy.ListChanges, 11, []policy.Entry{
+			l.applyListUpdate(updateAt(policy.ListChanges, 11, []policy.Entry{
 				incarnationOf(policy.StateInService, startedAt), incarnationOf(policy.StateGone, startedAt-time.Hour)}, present, former))
 		},
 		"a list of before, long after the new life": func(l *loop) {
-			l.members(updateAt(policy.ListChanges, 11, []policy.Entry{incarnationOf(policy.StateInService, startedAt)}, present))
+			l.applyListUpdate(updateAt(policy.ListChanges, 11, []policy.Entry{incarnationOf(policy.StateInService, startedAt)}, present))
 			l.now += 2 * time.Minute
-			l.members(updateAt(policy.ListWhole, 10, []policy.Entry{incarnationOf(policy.StateInService, startedAt-time.Hour)}, former))
+			l.applyListUpdate(updateAt(policy.ListWhole, 10, []policy.Entry{incarnationOf(policy.StateInService, startedAt-time.Hour)}, former))
 		},
 		"another address that lags and answers long after the reload": func(l *loop) {
-			l.members(updateAt(policy.ListChanges, 11, []policy.Entry{incarnationOf(policy.StateInService, startedAt)}, present))
-			l.members(updateAt(policy.ListAddressChanged, 0, nil))
+			l.applyListUpdate(updateAt(policy.ListChanges, 11, []policy.Entry{incarnationOf(policy.StateInService, startedAt)}, present))
+			l.applyListUpdate(updateAt(policy.ListAddressChanged, 0, nil))
 			l.now += 2 * time.Minute
 			update := updateAt(policy.ListWhole, 10, []policy.Entry{incarnationOf(policy.StateInService, startedAt-time.Hour)}, former)
 			update.origin.Source = 2
-			l.members(update)
+			l.applyListUpdate(update)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := newTestLoop(t)
-			l.tick()
-			l.members(updateAt(policy.ListWhole, 10, []policy.Entry{incarnationOf(policy.StateInService, startedAt-time.Hour)}, former))
+			l.advanceNow()
+			l.applyListUpdate(updateAt(policy.ListWhole, 10, []policy.Entry{incarnationOf(policy.StateInService, startedAt-time.Hour)}, former))
 			play(l)
 			if _, listed := l.servers[1]; !listed {
 				t.Fatal("the server has no address, and the module may go on sending to it")
@@ -106,9 +106,9 @@
 func clientAtVersion41(t *testing.T) (*discoveryClient, *loop) {
 	t.Helper()
 	l := newTestLoop(t)
-	l.tick()
-	client := newDiscoveryClient("127.0.0.1:1", siteOf(t, settings), newClock(), slog.New(slog.DiscardHandler))
-	client.onList = func(update listUpdate) { l.members(update) }
+	l.advanceNow()
+	client := newDiscoveryClient("127.0.0.1:1", parseTestSite(t, testSettings), newClock(), slog.New(slog.DiscardHandler))
+	client.onList = func(update listUpdate) { l.applyListUpdate(update) }
 	client.onCallEnd = func(policy.CallEnd) {}
 	client.accept(parseList(t, `{"rev":41,"all":true,"targets":[`+entryText("s1", "in_service")+","+entryText("s2", "in_service")+`]}`))
 	return client, l
@@ -207,8 +207,8 @@
 	defer stop()
 	handled := make(chan struct{})
 	go func() {
-		l.await(func() {
-			l.queue = append(l.queue, func() {
+		l.postAndWait(func() {
+			l.deferred = append(l.deferred, func() {
 				time.Sleep(50 * time.Millisecond) // a withdrawal that the processor takes its time for
 				close(handled)
 			})
@@ -237,8 +237,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := newTestLoop(t)
-			l.tick()
-			l.members(updateAt(policy.ListWhole, 10, []policy.Entry{incarnationOf(policy.StateInService, 0)}, "127.0.0.1:1"))
+			l.advanceNow()
+			l.applyListUpdate(updateAt(policy.ListWhole, 10, []policy.Entry{incarnationOf(policy.StateInService, 0)}, "127.0.0.1:1"))
 			wait := make(chan struct{})
 			defer close(wait)
 			l.upstream.dialer = func(context.Context, string) (net.Conn, error) { <-wait; return nil, errors.New("late") }
@@ -246,8 +246,10 @@
 			if len(r.attempts) != 1 {
 				t.Fatalf("%d attempts", len(r.attempts))
 			}
-			l.step(func() { l.members(updateAt(policy.ListChanges, 11, []policy.Entry{entries.line}, entries.addr)) })
-			if r.attempts[0].begin() {
+			l.runEvent(func() {
+				l.applyListUpdate(updateAt(policy.ListChanges, 11, []policy.Entry{entries.line}, entries.addr))
+			})
+			if r.attempts[0].beginWrite() {
 				t.Error("the attempt begins at the server that it was meant for")
 			}
 		})
@@ -276,7 +278,7 @@
 				write(w, `{"rev":42,"all":true,"targets":[`+entryText("s1", "terminating")+`]}`)
 			}))
 			defer service.Close()
-			client := newDiscoveryClient(service.Listener.Addr().String(), siteOf(t, settings), newClock(), slog.New(slog.DiscardHandler))
+			client := newDiscoveryClient(service.Listener.Addr().String(), parseTestSite(t, testSettings), newClock(), slog.New(slog.DiscardHandler))
 			client.execute(t.Context(), callCommand{call: policy.Call{ID: 1}})
 			time.Sleep(2 * bodyEndTimeout) // run hands on another list
 			select {
@@ -301,7 +303,7 @@
 		<-r.Context().Done()
 	}))
 	defer service.Close()
-	client := newDiscoveryClient(service.Listener.Addr().String(), siteOf(t, settings), newClock(), slog.New(slog.DiscardHandler))
+	client := newDiscoveryClient(service.Listener.Addr().String(), parseTestSite(t, testSettings), newClock(), slog.New(slog.DiscardHandler))
 	client.execute(t.Context(), callCommand{call: policy.Call{ID: 1}})
 	<-began
 	client.abandon(1)
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -38,87 +38,87 @@
 // Deadlines. A client counts its time from when it sent, so the module is told
 // somewhat less; the backstop stands between the module's end and the client's.
 const (
-	clientMargin   = 12 * time.Millisecond
-	backstopMargin = 4 * time.Millisecond
+	policyDeadlineMargin = 12 * time.Millisecond
+	answerDeadlineMargin = 4 * time.Millisecond
 )
 
 // answerKind tells how a request ended for its client.
 type answerKind uint8
 
 const (
-	served answerKind = iota
-	refused
-	failed
-	overdue   // failed because the time was up
-	duplicate // its id is that of another request
+	answerServed answerKind = iota
+	answerRefused
+	answerFailed
+	answerTimedOut    // failed because the time was up
+	answerDuplicateID // its id is that of another request
 )
 
 var answerKindNames = [...]string{
-	served: "served", refused: "refused", failed: "failed", overdue: "overdue", duplicate: "duplicate id",
+	answerServed: "served", answerRefused: "refused", answerFailed: "failed", answerTimedOut: "overdue", answerDuplicateID: "duplicate id",
 }
 
 // String names a kind, for logs.
 func (k answerKind) String() string { return answerKindNames[k] }
 
 // answer is the one final answer of a request.
-type answer struct {
+type finalAnswer struct {
 	kind       answerKind
 	retryAfter time.Duration // refused
 	reason     string        // refused or failed, for the log
-	reply      reply         // served
+	result     attemptResult // served
 }
 
 // request is a client's request while the node owes something for it or an
 // attempt of it is out. Only the loop touches it.
 type request struct {
-	id       policy.RequestID
-	message  *message
-	answers  chan<- answer // room for the one answer
-	end      time.Duration // attempts are given up
-	answered bool
-	attempts []*attempt
-	out      int
-	writeBy  atomic.Int64 // no byte of an attempt goes out from then on; 0: no limit
+	id            policy.RequestID
+	outgoing      *upstreamRequest
+	answers       chan<- finalAnswer // room for the one answer
+	deadline      time.Duration      // attempts are given up
+	answered      bool
+	attempts      []*attempt
+	inFlight      int
+	writeDeadline atomic.Int64 // no byte of an attempt goes out from then on; 0: no limit
 }
 
 // The phases of an attempt's write. They are shared with its goroutine, so that
 // nothing goes out after the loop has given the attempt up, and the loop knows
 // whether anything may have.
 const (
-	unsent int32 = iota
-	writing
-	whole
-	abandoned
+	phaseUnsent int32 = iota
+	phaseWriting
+	phaseWritten
+	phaseAbandoned
 )
 
 type attempt struct {
-	clock   clock
-	gate    *sendGate
-	request *request
-	index   int
-	server  policy.ServerID
-	to      backend
-	sent    time.Duration
-	phase   atomic.Int32
-	begun   atomic.Int64 // when its first byte was about to go out, on the module's clock; 0: not yet
-	cancel  context.CancelFunc
-	over    bool // its outcome was told; what still comes is dropped
+	clock           clock
+	gate            *sendGate
+	request         *request
+	index           int
+	serverID        policy.ServerID
+	incarnation     serverIncarnation
+	sentAt          time.Duration
+	phase           atomic.Int32
+	beganAt         atomic.Int64 // when its first byte was about to go out, on the module's clock; 0: not yet
+	cancel          context.CancelFunc
+	outcomeReported bool // its outcome was told; what still comes is dropped
 }
 
 // begin claims the right to write the request; false once the loop gave it up, the time for it is over
 // or its server is being taken out of service. Every first byte passes here. It implements permit.
-func (a *attempt) begin() bool {
+func (a *attempt) beginWrite() bool {
 	now := a.clock.now()
-	by := time.Duration(a.request.writeBy.Load())
-	if by > 0 && now >= by || !a.gate.admits(a.server) || !a.phase.CompareAndSwap(unsent, writing) {
+	deadline := time.Duration(a.request.writeDeadline.Load())
+	if deadline > 0 && now >= deadline || !a.gate.admits(a.serverID) || !a.phase.CompareAndSwap(phaseUnsent, phaseWriting) {
 		return false
 	}
-	a.begun.Store(int64(now))
+	a.beganAt.Store(int64(now))
 	return true
 }
 
 // wrote notes that the last byte is out.
-func (a *attempt) wrote() { a.phase.CompareAndSwap(writing, whole) }
+func (a *attempt) finishWrite() { a.phase.CompareAndSwap(phaseWriting, phaseWritten) }
 
 // timer is an entry of the one heap of timers.
 type timer struct {
@@ -145,39 +145,39 @@
 // goroutines, answer waiting handlers or queue what must reach the module after
 // the present event, since the module must not be called from within itself.
 type loop struct {
-	clock    clock
-	upstream *upstream
-	gate     *sendGate
-	grace    time.Duration // for which a server that was told to drain may be sent to
-	log      *requestLog
-	ready    func() // told once: requests are served from now on
-	calls    *callQueue
-	events   chan func()
-	stopped  chan struct{}
-
-	balancer *policy.Balancer
-	now      time.Duration
-	requests map[policy.RequestID]*request
-	servers  map[policy.ServerID]backend
-	lastID   policy.RequestID
-	ids      recentIDs
-	endBy    time.Duration // the node ends: answers are due by then; 0: not so far
-
-	metrics metrics
-	timers  timerHeap
-	queue   []func()
-}
-
-func newLoop(set policy.Settings, seed uint64, c clock, up *upstream, calls *callQueue) (*loop, error) {
+	clock      clock
+	upstream   *upstream
+	gate       *sendGate
+	drainGrace time.Duration // for which a server that was told to drain may be sent to
+	requestLog *requestLog
+	onReady    func() // told once: requests are served from now on
+	callQueue  *callQueue
+	events     chan func()
+	stopped    chan struct{}
+
+	balancer         *policy.Balancer
+	now              time.Duration
+	requests         map[policy.RequestID]*request
+	servers          map[policy.ServerID]serverIncarnation
+	lastRequestID    policy.RequestID
+	recentIDs        recentIDs
+	shutdownDeadline time.Duration // the node ends: answers are due by then; 0: not so far
+
+	metrics  metrics
+	timers   timerHeap
+	deferred []func()
+}
+
+func newLoop(settings policy.Settings, seed uint64, clock clock, upstream *upstream, callQueue *callQueue) (*loop, error) {
 	l := &loop{
-		clock: c, upstream: up, gate: newSendGate(), grace: set.Rules.DrainGrace, log: newRequestLog(slog.New(slog.DiscardHandler)),
-		ready: func() {}, calls: calls,
+		clock: clock, upstream: upstream, gate: newSendGate(), drainGrace: settings.Rules.DrainGrace, requestLog: newRequestLog(slog.New(slog.DiscardHandler)),
+		onReady: func() {}, callQueue: callQueue,
 		events: make(chan func(), 256), stopped: make(chan struct{}),
-		ids:      newRecentIDs(set.Classes),
-		requests: map[policy.RequestID]*request{}, servers: map[policy.ServerID]backend{},
+		recentIDs: newRecentIDs(settings.Classes),
+		requests:  map[policy.RequestID]*request{}, servers: map[policy.ServerID]serverIncarnation{},
 	}
 	var err error
-	if l.balancer, err = policy.New(set, seed, l); err != nil {
+	if l.balancer, err = policy.New(settings, seed, l); err != nil {
 		return nil, fmt.Errorf("decision module: %w", err)
 	}
 	return l, nil
@@ -198,34 +198,34 @@
 			}
 			return
 		case event := <-l.events:
-			l.step(event)
+			l.runEvent(event)
 		case <-wake.C:
 		}
-		for len(l.timers) > 0 && l.timers[0].at <= l.tick() {
-			l.step(heap.Pop(&l.timers).(timer).fire)
+		for len(l.timers) > 0 && l.timers[0].at <= l.advanceNow() {
+			l.runEvent(heap.Pop(&l.timers).(timer).fire)
 		}
 		if len(l.timers) > 0 {
-			wake.Reset(l.timers[0].at - l.tick())
+			wake.Reset(l.timers[0].at - l.advanceNow())
 		}
 	}
 }
 
 // tick moves the module's clock on; it never goes back.
-func (l *loop) tick() time.Duration {
+func (l *loop) advanceNow() time.Duration {
 	l.now = max(l.now, l.clock.now())
 	return l.now
 }
 
 // step handles one event and then what the module's actions have queued.
-func (l *loop) step(event func()) {
-	l.tick()
+func (l *loop) runEvent(event func()) {
+	l.advanceNow()
 	event()
-	for len(l.queue) > 0 {
-		next := l.queue[0]
-		l.queue = l.queue[1:]
+	for len(l.deferred) > 0 {
+		next := l.deferred[0]
+		l.deferred = l.deferred[1:]
 		next()
 	}
-	l.queue = nil
+	l.deferred = nil
 }
 
 // post hands an event to the loop; false once it has stopped.
@@ -239,10 +239,10 @@
 }
 
 // await hands an event to the loop and waits until it and what it queued was handled, or the loop has stopped.
-func (l *loop) await(event func()) {
+func (l *loop) postAndWait(event func()) {
 	handled := make(chan struct{})
 	done := func() { close(handled) }
-	if l.post(func() { event(); l.queue = append(l.queue, done) }) {
+	if l.post(func() { event(); l.deferred = append(l.deferred, done) }) {
 		select {
 		case <-handled:
 		case <-l.stopped:
@@ -250,93 +250,93 @@
 	}
 }
 
-func (l *loop) after(at time.Duration, fire func()) {
+func (l *loop) scheduleAt(at time.Duration, fire func()) {
 	heap.Push(&l.timers, timer{at, fire})
 }
 
 // ---- events
 
 // members takes a list of servers or changes to it.
-func (l *loop) members(news listUpdate) {
-	switch news.kind {
+func (l *loop) applyListUpdate(update listUpdate) {
+	switch update.kind {
 	case policy.ListWhole, policy.ListCached:
-		l.replaceServers(news)
+		l.replaceServers(update)
 	case policy.ListChanges:
-		l.changeServers(news)
+		l.changeServers(update)
 	}
-	l.balancer.ListUpdatedFrom(l.now, news.origin, news.kind, news.entries)
+	l.balancer.ListUpdatedFrom(l.now, update.origin, update.kind, update.entries)
 }
 
 // replaceServers takes a whole list.
-func (l *loop) replaceServers(news listUpdate) {
+func (l *loop) replaceServers(update listUpdate) {
 	old := l.servers
-	l.servers = make(map[policy.ServerID]backend, len(news.entries))
-	counts := l.balancer.AcceptedEntries(l.now, news.origin, news.entries)
-	for i, e := range news.entries {
-		if counts[i] {
-			l.setServer(e, news.endpoints[i])
-		} else if b, listed := old[e.Server]; listed && l.servers[e.Server] == (backend{}) {
-			l.servers[e.Server] = b
+	l.servers = make(map[policy.ServerID]serverIncarnation, len(update.entries))
+	accepted := l.balancer.AcceptedEntries(l.now, update.origin, update.entries)
+	for i, entry := range update.entries {
+		if accepted[i] {
+			l.setServer(entry, update.endpoints[i])
+		} else if incarnation, listed := old[entry.Server]; listed && l.servers[entry.Server] == (serverIncarnation{}) {
+			l.servers[entry.Server] = incarnation
 		}
 	}
-	var unnamed []string
-	var dropped []backend
-	for id, b := range old {
-		if l.servers[id] != b {
-			dropped = append(dropped, b)
+	var unlistedAddrs []string
+	var dropped []serverIncarnation
+	for id, incarnation := range old {
+		if l.servers[id] != incarnation {
+			dropped = append(dropped, incarnation)
 		}
-		if _, named := l.servers[id]; !named {
-			unnamed = append(unnamed, b.addr)
+		if _, isListed := l.servers[id]; !isListed {
+			unlistedAddrs = append(unlistedAddrs, incarnation.addr)
 		}
 	}
-	if len(unnamed) > 0 {
-		l.log.log.Info("servers that the whole list does not name", "count", len(unnamed),
-			"endpoints", unnamed[:min(len(unnamed), maxLoggedServers)])
+	if len(unlistedAddrs) > 0 {
+		l.requestLog.logger.Info("servers that the whole list does not name", "count", len(unlistedAddrs),
+			"endpoints", unlistedAddrs[:min(len(unlistedAddrs), maxLoggedServers)])
 	}
-	l.drop(dropped)
+	l.dropIncarnations(dropped)
 }
 
 // changeServers takes changes to the list. It looks at no other server: there may be very
 // many, and changes often come one by one.
-func (l *loop) changeServers(news listUpdate) {
-	var dropped []backend
-	counts := l.balancer.AcceptedEntries(l.now, news.origin, news.entries)
-	for i, e := range news.entries {
-		if !counts[i] {
+func (l *loop) changeServers(update listUpdate) {
+	var dropped []serverIncarnation
+	accepted := l.balancer.AcceptedEntries(l.now, update.origin, update.entries)
+	for i, entry := range update.entries {
+		if !accepted[i] {
 			continue
 		}
-		b, listed := l.servers[e.Server]
-		l.setServer(e, news.endpoints[i])
-		if listed && l.servers[e.Server] != b {
-			dropped = append(dropped, b)
+		previous, listed := l.servers[entry.Server]
+		l.setServer(entry, update.endpoints[i])
+		if listed && l.servers[entry.Server] != previous {
+			dropped = append(dropped, previous)
 		}
 	}
-	l.drop(dropped)
+	l.dropIncarnations(dropped)
 }
 
-func (l *loop) setServer(e policy.Entry, endpoint string) {
-	if e.State == policy.StateGone {
-		delete(l.servers, e.Server)
+func (l *loop) setServer(entry policy.Entry, endpoint string) {
+	if entry.State == policy.StateGone {
+		delete(l.servers, entry.Server)
 	} else {
-		l.servers[e.Server] = backend{e.Server, endpoint, e.StartedAt}
+		l.servers[entry.Server] = serverIncarnation{entry.Server, endpoint, entry.StartedAt}
 	}
 }
 
 // drop closes the connections to servers that are gone, or that are no longer the process or at the address
 // that they were, and takes back the attempts that wait for one; a late word on an old server does not touch
 // a new one at its address.
-func (l *loop) drop(servers []backend) {
-	if len(servers) == 0 {
+func (l *loop) dropIncarnations(incarnations []serverIncarnation) {
+	if len(incarnations) == 0 {
 		return
 	}
-	dropped := make(map[backend]bool, len(servers))
-	for _, b := range servers {
-		dropped[b] = true
-		l.upstream.drop(b)
+	dropped := make(map[serverIncarnation]bool, len(incarnations))
+	for _, incarnation := range incarnations {
+		dropped[incarnation] = true
+		l.upstream.closeIdle(incarnation)
 	}
 	for _, r := range l.requests {
 		for _, a := range r.attempts {
-			if dropped[a.to] {
+			if dropped[a.incarnation] {
 				l.CancelUnsent(r.id, a.index)
 			}
 		}
@@ -344,35 +344,35 @@
 }
 
 // submit takes a request in. The answer comes on answers, exactly once.
-func (l *loop) submit(q policy.Request, m *message, answers chan<- answer) *request {
-	if !l.ids.add(l.now, m.header.Get("X-Correlation-Id")) {
+func (l *loop) submit(policyRequest policy.Request, outgoing *upstreamRequest, answers chan<- finalAnswer) *request {
+	if !l.recentIDs.add(l.now, outgoing.header.Get("X-Correlation-Id")) {
 		r := &request{answers: answers}
-		l.answer(r, answer{kind: duplicate})
+		l.answer(r, finalAnswer{kind: answerDuplicateID})
 		return r
 	}
-	for l.lastID++; l.requests[l.lastID] != nil; l.lastID++ { // ids wrap around in the end
+	for l.lastRequestID++; l.requests[l.lastRequestID] != nil; l.lastRequestID++ { // ids wrap around in the end
 	}
-	if l.endBy > 0 {
-		m.deadline = min(m.deadline, l.endBy)
+	if l.shutdownDeadline > 0 {
+		outgoing.clientDeadline = min(outgoing.clientDeadline, l.shutdownDeadline)
 	}
-	left := max(0, m.deadline-l.now)
-	q.ID, q.TimeLeft = l.lastID, left-min(clientMargin, left/2)
-	r := &request{id: q.ID, message: m, answers: answers, end: l.now + q.TimeLeft}
+	timeLeft := max(0, outgoing.clientDeadline-l.now)
+	policyRequest.ID, policyRequest.TimeLeft = l.lastRequestID, timeLeft-min(policyDeadlineMargin, timeLeft/2)
+	r := &request{id: policyRequest.ID, outgoing: outgoing, answers: answers, deadline: l.now + policyRequest.TimeLeft}
 	l.requests[r.id] = r
-	l.log.taken(r, q)
-	l.balancer.RequestArrived(l.now, q)
+	l.requestLog.requestTaken(r, policyRequest)
+	l.balancer.RequestArrived(l.now, policyRequest)
 	if !r.answered {
-		l.after(r.end, func() { l.expire(r) })
-		l.after(m.deadline-min(backstopMargin, left/4), func() { l.backstop(r) })
+		l.scheduleAt(r.deadline, func() { l.timeOutAttempts(r) })
+		l.scheduleAt(outgoing.clientDeadline-min(answerDeadlineMargin, timeLeft/4), func() { l.enforceDeadline(r) })
 	}
 	return r
 }
 
 // expire gives up what is out at the client's deadline. The module hears of
 // time-outs of a request still open and words the final answer itself.
-func (l *loop) expire(r *request) {
+func (l *loop) timeOutAttempts(r *request) {
 	for _, a := range r.attempts {
-		if !a.over && !r.answered {
+		if !a.outcomeReported && !r.answered {
 			l.abandon(a, policy.Timeout)
 		}
 	}
@@ -380,122 +380,122 @@
 
 // endAt is told when the node ends: answers are due by then, also those of requests
 // that were taken before and have more time left. A killed node answers nobody.
-func (l *loop) endAt(by time.Duration) {
-	l.endBy = by
+func (l *loop) setShutdownDeadline(deadline time.Duration) {
+	l.shutdownDeadline = deadline
 	for _, r := range l.requests {
-		if !r.answered && r.end > by {
-			l.after(by, func() { l.backstop(r) })
+		if !r.answered && r.deadline > deadline {
+			l.scheduleAt(deadline, func() { l.enforceDeadline(r) })
 		}
 	}
 }
 
 // backstop guards the rule that each request is answered in its client's time,
 // should the module not have done so by now.
-func (l *loop) backstop(r *request) {
+func (l *loop) enforceDeadline(r *request) {
 	if !r.answered {
-		l.answer(r, answer{kind: overdue})
+		l.answer(r, finalAnswer{kind: answerTimedOut})
 		l.balancer.ClientDisconnected(l.now, r.id)
-		l.settle(r)
+		l.forgetIfDone(r)
 	}
 }
 
 // left is told when the client went away.
-func (l *loop) left(r *request) {
+func (l *loop) clientDisconnected(r *request) {
 	if !r.answered {
 		r.answered = true
-		l.log.left(r)
+		l.requestLog.clientDisconnected(r)
 		l.balancer.ClientDisconnected(l.now, r.id)
-		l.settle(r)
+		l.forgetIfDone(r)
 	}
 }
 
 // finished takes what came of an attempt.
-func (l *loop) finished(a *attempt, p reply, at time.Duration) {
-	if a.over {
+func (l *loop) roundTripFinished(a *attempt, result attemptResult, endedAt time.Duration) {
+	if a.outcomeReported {
 		return
 	}
 	switch {
-	case p.status == policy.OK:
-		l.answer(a.request, answer{kind: served, reply: p})
-	case p.rejected:
+	case result.status == policy.OK:
+		l.answer(a.request, finalAnswer{kind: answerServed, result: result})
+	case result.invalidRequest:
 		// The request is at fault, and would be at any server: nothing to hold
 		// against this one, and nothing to try again.
-		l.answer(a.request, answer{kind: failed, reason: "rejected by a server"})
-		p.status = policy.Cancelled
+		l.answer(a.request, finalAnswer{kind: answerFailed, reason: "rejected by a server"})
+		result.status = policy.Cancelled
 	}
-	l.outcome(a, p.status, at)
+	l.reportOutcome(a, result.status, endedAt)
 }
 
 // abandon ends an attempt from this side. One that was not written yet can't
 // have run, and never will: its goroutine finds the phase changed.
 func (l *loop) abandon(a *attempt, status policy.Status) {
-	if a.phase.CompareAndSwap(unsent, abandoned) {
+	if a.phase.CompareAndSwap(phaseUnsent, phaseAbandoned) {
 		status = policy.NotSent
 	}
-	l.outcome(a, status, l.now)
+	l.reportOutcome(a, status, l.now)
 }
 
 // cutOff takes back the attempts that are not written whole by then, unless another end was
 // set since. One whose write is under way finds its connection broken and knows best whether
 // the last byte went out before that.
-func (l *loop) cutOff(r *request, by time.Duration) {
-	if r.writeBy.Load() != int64(by) {
+func (l *loop) cancelUnwritten(r *request, deadline time.Duration) {
+	if r.writeDeadline.Load() != int64(deadline) {
 		return
 	}
 	for _, a := range r.attempts {
 		switch {
-		case a.over:
-		case a.phase.CompareAndSwap(unsent, abandoned):
-			l.outcome(a, policy.NotSent, l.now)
-		case a.phase.CompareAndSwap(writing, abandoned):
+		case a.outcomeReported:
+		case a.phase.CompareAndSwap(phaseUnsent, phaseAbandoned):
+			l.reportOutcome(a, policy.NotSent, l.now)
+		case a.phase.CompareAndSwap(phaseWriting, phaseAbandoned):
 			a.cancel()
 		}
 	}
 }
 
 // outcome tells the module of an attempt's end, once for each.
-func (l *loop) outcome(a *attempt, status policy.Status, at time.Duration) {
+func (l *loop) reportOutcome(a *attempt, status policy.Status, endedAt time.Duration) {
 	r := a.request
-	a.over = true
+	a.outcomeReported = true
 	a.cancel()
-	r.out--
-	l.checkDrain(a)
-	l.log.ended(a, status, at)
+	r.inFlight--
+	l.checkDrainGrace(a)
+	l.requestLog.attemptEnded(a, status, endedAt)
 	l.balancer.AttemptEnded(l.now, policy.Outcome{
-		ID: r.id, Attempt: a.index, Server: a.server, Status: status,
-		RequestDone: r.answered, Latency: max(0, at-a.sent),
+		ID: r.id, Attempt: a.index, Server: a.serverID, Status: status,
+		RequestDone: r.answered, Latency: max(0, endedAt-a.sentAt),
 	})
-	l.settle(r)
+	l.forgetIfDone(r)
 }
 
 // checkDrain counts an attempt that began at a server later than the grace after it was told to be out of
 // service: that must not happen.
-func (l *loop) checkDrain(a *attempt) {
-	begun := time.Duration(a.begun.Load())
-	since, out := l.balancer.OutOfService(a.server)
-	if begun == 0 || !out || begun <= since+l.grace {
+func (l *loop) checkDrainGrace(a *attempt) {
+	beganAt := time.Duration(a.beganAt.Load())
+	since, isOut := l.balancer.OutOfService(a.serverID)
+	if beganAt == 0 || !isOut || beganAt <= since+l.drainGrace {
 		return
 	}
 	total := l.metrics.drainViolations.Add(1)
-	l.log.log.Error("drain violation: an attempt began after the grace", "request", requestName(a.request),
-		"number", a.request.id, "attempt", a.index, "endpoint", l.servers[a.server].addr,
-		"late", begun-since-l.grace, "total", total)
+	l.requestLog.logger.Error("drain violation: an attempt began after the grace", "request", correlationID(a.request),
+		"number", a.request.id, "attempt", a.index, "endpoint", l.servers[a.serverID].addr,
+		"late", beganAt-since-l.drainGrace, "total", total)
 }
 
 // answer gives the client its final answer; only the first one counts.
-func (l *loop) answer(r *request, a answer) {
+func (l *loop) answer(r *request, a finalAnswer) {
 	if !r.answered {
 		r.answered = true
-		l.log.answered(r, a)
+		l.requestLog.requestAnswered(r, a)
 		r.answers <- a
 	}
 }
 
 // settle forgets a request that is answered and has nothing out.
-func (l *loop) settle(r *request) {
+func (l *loop) forgetIfDone(r *request) {
 	if r.answered {
-		r.message = nil // the heap may hold the request for a while
-		if r.out == 0 {
+		r.outgoing = nil // the heap may hold the request for a while
+		if r.inFlight == 0 {
 			delete(l.requests, r.id)
 		}
 	}
@@ -510,102 +510,102 @@
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	a := &attempt{clock: l.clock, gate: l.gate, request: r, index: len(r.attempts), server: server, sent: l.now, cancel: cancel}
-	r.attempts = append(r.attempts, a)
-	r.out++
-	to, listed := l.servers[server]
-	a.to = to
+	newAttempt := &attempt{clock: l.clock, gate: l.gate, request: r, index: len(r.attempts), serverID: server, sentAt: l.now, cancel: cancel}
+	r.attempts = append(r.attempts, newAttempt)
+	r.inFlight++
+	incarnation, listed := l.servers[server]
+	newAttempt.incarnation = incarnation
 	if r.answered || !listed {
-		a.phase.Store(abandoned)
-		l.queue = append(l.queue, func() { l.outcome(a, policy.NotSent, l.now) })
+		newAttempt.phase.Store(phaseAbandoned)
+		l.deferred = append(l.deferred, func() { l.reportOutcome(newAttempt, policy.NotSent, l.now) })
 		return
 	}
-	l.log.sent(a, to)
-	wait := r.end - l.now
-	if timeout > 0 && timeout < wait {
-		wait = timeout
-		l.after(l.now+timeout, func() {
-			if !a.over {
-				l.abandon(a, policy.Timeout)
+	l.requestLog.attemptSent(newAttempt, incarnation)
+	timeLeft := r.deadline - l.now
+	if timeout > 0 && timeout < timeLeft {
+		timeLeft = timeout
+		l.scheduleAt(l.now+timeout, func() {
+			if !newAttempt.outcomeReported {
+				l.abandon(newAttempt, policy.Timeout)
 			}
 		})
 	}
-	m := r.message
+	outgoing := r.outgoing
 	go func() {
-		p := l.upstream.roundTrip(ctx, to, m, wait, a)
-		at := l.clock.now()
-		l.post(func() { l.finished(a, p, at) })
+		result := l.upstream.roundTrip(ctx, incarnation, outgoing, timeLeft, newAttempt)
+		endedAt := l.clock.now()
+		l.post(func() { l.roundTripFinished(newAttempt, result, endedAt) })
 	}()
 }
 
 // WriteBy implements policy.Host.
-func (l *loop) SetWriteDeadline(id policy.RequestID, at time.Duration) {
+func (l *loop) SetWriteDeadline(id policy.RequestID, deadline time.Duration) {
 	r := l.requests[id]
 	if r == nil {
 		return
 	}
-	if r.writeBy.Store(int64(at)); at > 0 {
-		l.after(at, func() { l.cutOff(r, at) })
+	if r.writeDeadline.Store(int64(deadline)); deadline > 0 {
+		l.scheduleAt(deadline, func() { l.cancelUnwritten(r, deadline) })
 	}
 }
 
 // Cancel implements policy.Host.
 func (l *loop) Cancel(id policy.RequestID, index int) {
-	l.later(id, index, func(a *attempt) { l.abandon(a, policy.Cancelled) })
+	l.deferForAttempt(id, index, func(a *attempt) { l.abandon(a, policy.Cancelled) })
 }
 
 // Withdraw implements policy.Host.
 func (l *loop) CancelUnsent(id policy.RequestID, index int) {
-	l.later(id, index, func(a *attempt) {
-		if a.phase.CompareAndSwap(unsent, abandoned) {
-			l.outcome(a, policy.NotSent, l.now)
+	l.deferForAttempt(id, index, func(a *attempt) {
+		if a.phase.CompareAndSwap(phaseUnsent, phaseAbandoned) {
+			l.reportOutcome(a, policy.NotSent, l.now)
 		}
 	})
 }
 
 // later does something to an attempt after the present event, unless it is over by then.
-func (l *loop) later(id policy.RequestID, index int, do func(*attempt)) {
+func (l *loop) deferForAttempt(id policy.RequestID, index int, action func(*attempt)) {
 	r := l.requests[id]
 	if r == nil || index >= len(r.attempts) {
 		return
 	}
 	a := r.attempts[index]
-	l.queue = append(l.queue, func() {
-		if !a.over {
-			do(a)
+	l.deferred = append(l.deferred, func() {
+		if !a.outcomeReported {
+			action(a)
 		}
 	})
 }
 
 // Refuse implements policy.Host.
 func (l *loop) Refuse(id policy.RequestID, retryAfter time.Duration, reason policy.Reason) {
-	l.end(id, answer{kind: refused, retryAfter: retryAfter, reason: reason.String()})
+	l.endRequest(id, finalAnswer{kind: answerRefused, retryAfter: retryAfter, reason: reason.String()})
 }
 
 // Fail implements policy.Host.
 func (l *loop) Fail(id policy.RequestID, reason policy.Reason) {
-	l.end(id, answer{kind: failed, reason: reason.String()})
+	l.endRequest(id, finalAnswer{kind: answerFailed, reason: reason.String()})
 }
 
-func (l *loop) end(id policy.RequestID, a answer) {
+func (l *loop) endRequest(id policy.RequestID, a finalAnswer) {
 	if r := l.requests[id]; r != nil {
 		l.answer(r, a)
-		l.settle(r)
+		l.forgetIfDone(r)
 	}
 }
 
 // SetTimer implements policy.Host.
 func (l *loop) SetTimer(at time.Duration, token uint64) {
-	l.after(at, func() { l.balancer.TimerFired(l.now, token) })
+	l.scheduleAt(at, func() { l.balancer.TimerFired(l.now, token) })
 }
 
 // Ready implements policy.Host.
-func (l *loop) MarkReady() { l.ready() }
+func (l *loop) MarkReady() { l.onReady() }
 
 // CallList implements policy.Host.
-func (l *loop) StartCall(call policy.Call) { l.calls.add(callCommand{call: call}) }
+func (l *loop) StartCall(call policy.Call) { l.callQueue.add(callCommand{call: call}) }
 
 // EndCall implements policy.Host.
 func (l *loop) CancelCall(id policy.CallID) {
-	l.calls.add(callCommand{call: policy.Call{ID: id}, abandons: true})
+	l.callQueue.add(callCommand{call: policy.Call{ID: id}, abandons: true})
 }
--- a/internal/node/members_test.go
+++ b/internal/node/members_test.go
@@ -13,7 +13,7 @@
 // testLoop is a loop that nobody runs: the test calls it.
 func newTestLoop(t testing.TB) *loop {
 	t.Helper()
-	l, err := newLoop(siteOf(t, settings).Settings, 1, newClock(), newUpstream(time.Hour, patience, 8), newCallQueue())
+	l, err := newLoop(parseTestSite(t, testSettings).Settings, 1, newClock(), newUpstream(time.Hour, testTimeout, 8), newCallQueue())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -26,7 +26,7 @@
 // hear has a loop hear a list or changes to it, of a later version than any before.
 func (l *loop) applyNewerUpdate(kind policy.ListKind, entries []policy.Entry, endpoints []string) {
 	origin := policy.Origin{Version: lastTestVersion.Add(1)}
-	l.members(listUpdate{kind: kind, origin: origin, entries: entries, endpoints: endpoints})
+	l.applyListUpdate(listUpdate{kind: kind, origin: origin, entries: entries, endpoints: endpoints})
 }
 
 // wholeList is a list of so many servers as it was read.
@@ -91,27 +91,27 @@
 		for _, kind := range []policy.ListKind{policy.ListChanges, policy.ListWhole, policy.ListCached} {
 			l := newTestLoop(t)
 			l.applyNewerUpdate(policy.ListWhole, []policy.Entry{ready(1, 5), ready(2, 0)}, []string{"a", "b"})
-			one, two := addIdleConn(t, l.upstream, backend{1, "a", 5}), addIdleConn(t, l.upstream, backend{2, "b", 0})
+			one, two := addIdleConn(t, l.upstream, serverIncarnation{1, "a", 5}), addIdleConn(t, l.upstream, serverIncarnation{2, "b", 0})
 			l.applyNewerUpdate(kind, c.entries, c.endpoints)
-			if one.quiet() != c.kept || !two.quiet() {
-				t.Errorf("%s, kind %d: connections open: %v, %v; want %v, true", name, kind, one.quiet(), two.quiet(), c.kept)
+			if one.isOpenAndSilent() != c.kept || !two.isOpenAndSilent() {
+				t.Errorf("%s, kind %d: connections open: %v, %v; want %v, true", name, kind, one.isOpenAndSilent(), two.isOpenAndSilent(), c.kept)
 			}
-			if l.applyNewerUpdate(policy.ListFailed, nil, nil); !two.quiet() {
+			if l.applyNewerUpdate(policy.ListFailed, nil, nil); !two.isOpenAndSilent() {
 				t.Errorf("%s, kind %d: a failed call closes connections", name, kind)
 			}
 		}
 	}
 	l := newTestLoop(t)
 	l.applyNewerUpdate(policy.ListWhole, []policy.Entry{ready(1, 5)}, []string{"a"})
-	one := addIdleConn(t, l.upstream, backend{1, "a", 5})
+	one := addIdleConn(t, l.upstream, serverIncarnation{1, "a", 5})
 	l.applyNewerUpdate(policy.ListWhole, nil, nil)
-	if one.quiet() {
+	if one.isOpenAndSilent() {
 		t.Error("a whole list that does not name a server leaves its connection open")
 	}
 }
 
 // idleTo puts an idle connection into the pool.
-func addIdleConn(t *testing.T, u *upstream, to backend) *conn {
+func addIdleConn(t *testing.T, u *upstream, to serverIncarnation) *serverConn {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -123,10 +123,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { client.Close() })
-	c := &conn{TCPConn: client.(*net.TCPConn), to: to}
+	c := &serverConn{TCPConn: client.(*net.TCPConn), incarnation: to}
 	u.mu.Lock()
-	u.open++
+	u.openConns++
 	u.mu.Unlock()
-	u.put(c, true)
+	u.releaseConn(c, true)
 	return c
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -87,19 +87,19 @@
 	// A request in work takes a descriptor at each side and a second copy one more at
 	// the servers'; clients also have idle connections, and some that say nothing.
 	servers := (config.Sockets - reservedSockets) * 9 / 20
-	clients := newClients(config.Sockets - reservedSockets - servers)
+	clients := newClientConns(config.Sockets - reservedSockets - servers)
 	upstream := newUpstream(config.Site.ConnIdle, config.Site.ConnectTimeout, servers)
 	discovery := newDiscoveryClient(config.Discovery, config.Site, clock, log)
 	loop, err := newLoop(settings, config.Seed, clock, upstream, discovery.commands)
 	if err != nil {
 		return err
 	}
-	loop.log = newRequestLog(log)
+	loop.requestLog = newRequestLog(log)
 	discovery.callLog.partialListLines = &loop.metrics.partialListLines
 	loop.balancer.Observe(decisionLog{log, loop})
 	upstream.log, clients.log = log, log
 	var ready atomic.Bool
-	loop.ready = func() {
+	loop.onReady = func() {
 		ready.Store(true)
 		log.Info("ready", "node", config.Name, "listen", listener.Addr().String())
 	}
@@ -122,11 +122,11 @@
 	go reloader.run(background, config, func(addr string) { discovery.requestAddrChange(background, addr) }, log)
 	go func() {
 		for ticks := time.Tick(time.Second); background.Err() == nil; <-ticks {
-			upstream.sweep()
+			upstream.closeStale()
 		}
 	}()
 
-	go clients.run(background)
+	go clients.evictPeriodically(background)
 
 	bodyBudgetBytes := int64(64 << 20)
 	if config.MemoryMB > 0 {
@@ -136,7 +136,7 @@
 	server := http.Server{
 		Handler: front, ReadHeaderTimeout: readTimeout, ReadTimeout: readTimeout,
 		WriteTimeout: answerWriteTimeout(settings.Classes), IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ConnState: clients.state, ConnContext: clients.context,
+		ConnState: clients.onConnState, ConnContext: clients.connContext,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
 	serveErr := make(chan error, 1)
@@ -149,16 +149,16 @@
 
 	log.Info("draining")
 	killAt := time.Now().Add(timeUntilKill(settings.Classes))
-	loop.post(func() { loop.endAt(loop.now + time.Until(killAt) - finalAnswerMargin) })
+	loop.post(func() { loop.setShutdownDeadline(loop.now + time.Until(killAt) - finalAnswerMargin) })
 	signalledAt := time.Now()
-	for time.Until(killAt) > connectionCloseMargin+closeAfterAnswerTime && (time.Since(signalledAt) < shutdownAcceptTime || !clients.empty()) {
+	for time.Until(killAt) > connectionCloseMargin+closeAfterAnswerTime && (time.Since(signalledAt) < shutdownAcceptTime || !clients.isEmpty()) {
 		time.Sleep(idleCloseTime)
 	}
 	front.draining.Store(true)
-	if !clients.empty() {
+	if !clients.isEmpty() {
 		time.Sleep(closeAfterAnswerTime)
 	}
-	clients.leave()
+	clients.evictAllWaiting()
 	time.Sleep(idleCloseTime)
 	shutdownCtx, cancelShutdown := context.WithDeadline(background, killAt)
 	defer cancelShutdown()
--- a/internal/node/outdated_answer_test.go
+++ b/internal/node/outdated_answer_test.go
@@ -18,7 +18,7 @@
 		"called behind the latest answer": now.Add(time.Second),
 		"called before the latest answer": now.Add(-time.Second),
 	} {
-		client := newDiscoveryClient("127.0.0.1:1", siteOf(t, settings), newClock(), slog.New(slog.DiscardHandler))
+		client := newDiscoveryClient("127.0.0.1:1", parseTestSite(t, testSettings), newClock(), slog.New(slog.DiscardHandler))
 		var outOfService []policy.Entry
 		client.onList = func(update listUpdate) {
 			if update.kind == policy.ListPartial || update.kind == policy.ListOutdated {
--- a/internal/node/recent.go
+++ b/internal/node/recent.go
@@ -13,32 +13,32 @@
 // after that answer, so ids stay known for a while. Two generations of hashes keep
 // it small: each is dropped whole.
 type recentIDs struct {
-	seed       maphash.Seed
-	every      time.Duration
-	since      time.Duration
-	young, old map[uint64]struct{}
+	seed              maphash.Seed
+	generationLength  time.Duration
+	currentSince      time.Duration
+	current, previous map[uint64]struct{}
 }
 
 // newRecentIDs keeps an id for longer than any request may be open.
 func newRecentIDs(classes []policy.Class) recentIDs {
-	every := 2 * time.Second
+	length := 2 * time.Second
 	for _, c := range classes {
-		every = max(every, c.Deadline)
+		length = max(length, c.Deadline)
 	}
-	return recentIDs{seed: maphash.MakeSeed(), every: every, young: map[uint64]struct{}{}}
+	return recentIDs{seed: maphash.MakeSeed(), generationLength: length, current: map[uint64]struct{}{}}
 }
 
 // add notes an id; false if it is known already.
 func (ids *recentIDs) add(now time.Duration, id string) bool {
-	if now-ids.since > ids.every {
-		if ids.old = ids.young; now-ids.since > 2*ids.every {
-			ids.old = nil
+	if now-ids.currentSince > ids.generationLength {
+		if ids.previous = ids.current; now-ids.currentSince > 2*ids.generationLength {
+			ids.previous = nil
 		}
-		ids.since, ids.young = now, map[uint64]struct{}{}
+		ids.currentSince, ids.current = now, map[uint64]struct{}{}
 	}
-	h := maphash.String(ids.seed, id)
-	_, young := ids.young[h]
-	_, old := ids.old[h]
-	ids.young[h] = struct{}{}
-	return !young && !old
+	hash := maphash.String(ids.seed, id)
+	_, inCurrent := ids.current[hash]
+	_, inPrevious := ids.previous[hash]
+	ids.current[hash] = struct{}{}
+	return !inCurrent && !inPrevious
 }
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -22,7 +22,7 @@
 	t.Helper()
 	text, err := json.Marshal(map[string]any{
 		"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "1",
-		"limits": map[string]any{"sockets": minSockets}, "settings": json.RawMessage(settings),
+		"limits": map[string]any{"sockets": minSockets}, "settings": json.RawMessage(testSettings),
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -36,15 +36,15 @@
 // old address is broken off though it would go on, the list of the new one replaces
 // the old, and no request suffers. A file that is no good changes nothing.
 func TestReloadMovesDiscoveryUnderLoad(t *testing.T) {
-	s1, s2 := newServer(t, says(ok("1"), true)), newServer(t, says(ok("2"), true))
-	old, next := newRegistry(t, listed(s1, "s1")), newRegistry(t, listed(s2, "s2"))
+	s1, s2 := newFakeServer(t, respondWith(okResponse("1"), true)), newFakeServer(t, respondWith(okResponse("2"), true))
+	old, next := newFakeDiscovery(t, inServiceEntry(s1, "s1")), newFakeDiscovery(t, inServiceEntry(s2, "s2"))
 	for range 5 {
-		old.change(listed(s1, "s1")) // a version that the other has never had
+		old.change(inServiceEntry(s1, "s1")) // a version that the other has never had
 	}
 	hangups := make(chan os.Signal, 1)
 	path := filepath.Join(t.TempDir(), "config.json")
 	addr, _ := startNodeWith(t, old, ConfigReloader{path, hangups})
-	old.told(t)
+	old.awaitSynced(t)
 
 	stop, answers := make(chan struct{}), sync.WaitGroup{}
 	for range 4 {
@@ -55,7 +55,7 @@
 					return
 				default:
 				}
-				resp, err := http.DefaultClient.Do(clientRequest(t, addr, "read", "2.5"))
+				resp, err := http.DefaultClient.Do(newClientRequest(t, addr, "read", "2.5"))
 				if err != nil {
 					t.Error(err)
 					return
@@ -74,17 +74,17 @@
 	}
 	hangups <- syscall.SIGHUP
 	waitFor(t, "signal taken", func() bool { return len(hangups) == 0 })
-	old.change(listed(s1, "s1"))
-	old.told(t) // the bad file left the watch in place
+	old.change(inServiceEntry(s1, "s1"))
+	old.awaitSynced(t) // the bad file left the watch in place
 
 	writeConfig(t, path, next.Listener.Addr().String())
 	hangups <- syscall.SIGHUP
-	next.told(t)
+	next.awaitSynced(t)
 	close(stop)
 	answers.Wait()
 	before := s1.requests.Load()
 	for range 10 {
-		if code, _, body := do(t, clientRequest(t, addr, "read", "2.5")); code != http.StatusOK || body != "2" {
+		if code, _, body := doRequest(t, newClientRequest(t, addr, "read", "2.5")); code != http.StatusOK || body != "2" {
 			t.Errorf("answered %d %q, want 200 from the new list", code, body)
 		}
 	}
@@ -170,7 +170,7 @@
 				if addr != "127.0.0.1:2" {
 					t.Errorf("moved to %s", addr)
 				}
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				t.Error("the file is not read again")
 			}
 			stop()
--- a/internal/node/request_log.go
+++ b/internal/node/request_log.go
@@ -11,51 +11,51 @@
 // requestLog writes what happens to each request, by the id that its client gave it. It
 // writes at the debug level; at any other it costs one comparison.
 type requestLog struct {
-	log     *slog.Logger
+	logger  *slog.Logger
 	enabled bool
 }
 
 func newRequestLog(log *slog.Logger) *requestLog {
-	return &requestLog{log: log, enabled: log.Enabled(context.Background(), slog.LevelDebug)}
+	return &requestLog{logger: log, enabled: log.Enabled(context.Background(), slog.LevelDebug)}
 }
 
 // requestName is the id that a client gave its request; it is gone once the request is settled.
-func requestName(r *request) string {
-	if r.message == nil {
+func correlationID(r *request) string {
+	if r.outgoing == nil {
 		return ""
 	}
-	return r.message.header.Get("X-Correlation-Id")
+	return r.outgoing.header.Get("X-Correlation-Id")
 }
 
-func (g *requestLog) taken(r *request, q policy.Request) {
+func (g *requestLog) requestTaken(r *request, policyRequest policy.Request) {
 	if g.enabled {
-		g.log.Debug("request taken", "request", requestName(r), "number", r.id, "class", q.Class, "left", q.TimeLeft)
+		g.logger.Debug("request taken", "request", correlationID(r), "number", r.id, "class", policyRequest.Class, "left", policyRequest.TimeLeft)
 	}
 }
 
-func (g *requestLog) sent(a *attempt, to backend) {
+func (g *requestLog) attemptSent(a *attempt, incarnation serverIncarnation) {
 	if g.enabled {
-		g.log.Debug("attempt sent", "request", requestName(a.request), "number", a.request.id,
-			"attempt", a.index, "endpoint", to.addr)
+		g.logger.Debug("attempt sent", "request", correlationID(a.request), "number", a.request.id,
+			"attempt", a.index, "endpoint", incarnation.addr)
 	}
 }
 
-func (g *requestLog) ended(a *attempt, status policy.Status, at time.Duration) {
+func (g *requestLog) attemptEnded(a *attempt, status policy.Status, endedAt time.Duration) {
 	if g.enabled {
-		g.log.Debug("attempt ended", "request", requestName(a.request), "number", a.request.id,
-			"attempt", a.index, "status", status.String(), "latency", at-a.sent)
+		g.logger.Debug("attempt ended", "request", correlationID(a.request), "number", a.request.id,
+			"attempt", a.index, "status", status.String(), "latency", endedAt-a.sentAt)
 	}
 }
 
-func (g *requestLog) answered(r *request, a answer) {
+func (g *requestLog) requestAnswered(r *request, a finalAnswer) {
 	if g.enabled {
-		g.log.Debug("request answered", "request", requestName(r), "number", r.id,
+		g.logger.Debug("request answered", "request", correlationID(r), "number", r.id,
 			"kind", a.kind.String(), "reason", a.reason, "retry_after", a.retryAfter)
 	}
 }
 
-func (g *requestLog) left(r *request) {
+func (g *requestLog) clientDisconnected(r *request) {
 	if g.enabled {
-		g.log.Debug("client left", "request", requestName(r), "number", r.id)
+		g.logger.Debug("client left", "request", correlationID(r), "number", r.id)
 	}
 }
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -18,67 +18,67 @@
 )
 
 const (
-	maxBody = 64 << 10 // of a request or an answer
+	maxBodyBytes = 64 << 10 // of a request or an answer
 
 	// A server writes its answer in one go, so one that stops half-way for so long
 	// will not go on: its length does not fit. Without this the attempt would hold
 	// its request until the client's time is up.
-	stallFor = 300 * time.Millisecond
+	responseStallTimeout = 300 * time.Millisecond
 	// A connection rests for so long before its next request. What a server sent
 	// behind its answer has come by then and shows in quiet; on a connection used
 	// again at once it would be read as the next request's answer.
-	settleFor = 10 * time.Millisecond
+	minIdleBeforeReuse = 10 * time.Millisecond
 )
 
 // forwarded are the client's headers that go on to servers unchanged.
-var forwarded = []string{
+var forwardedHeaders = []string{
 	"X-Correlation-Id", "Idempotency-Key", "X-Service-Class", "X-Account", "X-Repeat",
 	"X-Weight-Hint", "X-Facts", "Content-Type", "Accept",
 }
 
 // message is a client's request as it goes on to servers. It does not change
 // once it is handed over, so attempts may share it.
-type message struct {
-	method   string
-	uri      string // as the client wrote it
-	host     string
-	header   http.Header
-	body     []byte
-	deadline time.Duration // on the node's clock: the client gives up
+type upstreamRequest struct {
+	method         string
+	uri            string // as the client wrote it
+	host           string
+	header         http.Header
+	body           []byte
+	clientDeadline time.Duration // on the node's clock: the client gives up
 }
 
 // encode writes the whole request into memory, so that one write sends it and
 // tells whether its last byte went out. What stands in it has passed net/http's
 // checks on the way in, so no value holds a line's end.
-func (m *message) encode(wait time.Duration) []byte {
-	b := make([]byte, 0, 512+len(m.body))
-	b = fmt.Appendf(b, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Time-Left: %.3f\r\n", m.method, m.uri, m.host, wait.Seconds())
-	for _, name := range forwarded {
+func (m *upstreamRequest) encode(timeLeft time.Duration) []byte {
+	text := make([]byte, 0, 512+len(m.body))
+	text = fmt.Appendf(text, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Time-Left: %.3f\r\n", m.method, m.uri, m.host, timeLeft.Seconds())
+	for _, name := range forwardedHeaders {
 		for _, value := range m.header[name] {
-			b = fmt.Appendf(b, "%s: %s\r\n", name, value)
+			text = fmt.Appendf(text, "%s: %s\r\n", name, value)
 		}
 	}
 	if m.method != http.MethodGet {
-		b = fmt.Appendf(b, "Content-Length: %d\r\n", len(m.body))
+		text = fmt.Appendf(text, "Content-Length: %d\r\n", len(m.body))
 	}
-	return append(append(b, "\r\n"...), m.body...)
+	return append(append(text, "\r\n"...), m.body...)
 }
 
 // backend is one life of a server. The pool goes by it, not by the address: a new
 // server may stand at the address of one that has gone, and must not be sent what
 // was left of the old one's connections.
-type backend struct {
-	id      policy.ServerID
-	addr    string
-	started time.Duration
+type serverIncarnation struct {
+	id        policy.ServerID
+	addr      string
+	startedAt time.Duration
 }
 
 // reply is what came of an attempt; the body only where it was served.
-type reply struct {
-	status      policy.Status
-	contentType string
-	body        []byte
-	rejected    bool // the server can't use the request
+type attemptResult struct {
+	status         policy.Status
+	contentType    string
+	body           []byte
+	invalidRequest bool // the server can't use the request
 }
 
 // upstream carries out attempts on pooled connections, one request each at a
@@ -86,94 +86,94 @@
 // with an Idempotency-Key, once more by itself when a kept connection turns out
 // dead: an attempt that the module knows nothing of.
 type upstream struct {
-	idleFor time.Duration // kept idle at most
-	dialer  dialer
-	most    int // connections, idle ones included
-	log     *slog.Logger
+	maxIdle  time.Duration // kept idle at most
+	dialer   dialer
+	maxConns int // connections, idle ones included
+	log      *slog.Logger
 
-	mu   sync.Mutex
-	idle map[backend][]*conn // the latest used last
-	open int
+	mu        sync.Mutex
+	idleConns map[serverIncarnation][]*serverConn // the latest used last
+	openConns int
 }
 
 // newUpstream retires idle connections well before servers do (connIdle): a
 // request that crosses a server's close ends as a reset that may have run.
-func newUpstream(connIdle, connectTimeout time.Duration, most int) *upstream {
+func newUpstream(connIdle, connectTimeout time.Duration, maxConns int) *upstream {
 	return &upstream{
-		idleFor: connIdle * 3 / 4, dialer: tcpDialer(connectTimeout), most: most, log: slog.New(slog.DiscardHandler), idle: map[backend][]*conn{},
+		maxIdle: connIdle * 3 / 4, dialer: tcpDialer(connectTimeout), maxConns: maxConns, log: slog.New(slog.DiscardHandler), idleConns: map[serverIncarnation][]*serverConn{},
 	}
 }
 
-type conn struct {
+type serverConn struct {
 	*net.TCPConn
-	to        backend
-	budget    io.LimitedReader // what an answer may still take of memory
-	in        *bufio.Reader
-	idleSince time.Time
+	incarnation  serverIncarnation
+	limitedInput io.LimitedReader // what an answer may still take of memory
+	reader       *bufio.Reader
+	idleSince    time.Time
 }
 
-var errNoSockets = errors.New("all sockets in use")
+var errConnLimit = errors.New("all sockets in use")
 
 // permit is what an attempt's write has to ask and to say.
-type permit interface {
-	begin() bool // asked right before the first byte; if it says no, nothing is written
-	wrote()      // the last byte is out
+type writePermit interface {
+	beginWrite() bool // asked right before the first byte; if it says no, nothing is written
+	finishWrite()     // the last byte is out
 }
 
 // roundTrip makes one attempt. The status follows from whether the last byte was
 // written: before that the request can't have run, after that it may have. The server is told
 // what is left of wait when the request is written, as its connection may have come up late.
-func (u *upstream) roundTrip(ctx context.Context, to backend, m *message, wait time.Duration, may permit) reply {
-	began := time.Now()
-	c, err := u.get(ctx, to)
+func (u *upstream) roundTrip(ctx context.Context, incarnation serverIncarnation, outgoing *upstreamRequest, timeLeft time.Duration, permit writePermit) attemptResult {
+	startedAt := time.Now()
+	c, err := u.acquireConn(ctx, incarnation)
 	switch {
-	case errors.Is(err, errNoSockets) || isOneOf(err, localErrors):
-		return reply{status: policy.NotSent} // our own limits say nothing of the server
+	case errors.Is(err, errConnLimit) || isOneOf(err, localErrors):
+		return attemptResult{status: policy.NotSent} // our own limits say nothing of the server
 	case err != nil:
-		return reply{status: policy.ConnectFailed}
+		return attemptResult{status: policy.ConnectFailed}
 	}
-	release := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) }) // wakes reads and writes
-	if !may.begin() {
-		u.put(c, release())
-		return reply{status: policy.NotSent}
+	unregister := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) }) // wakes reads and writes
+	if !permit.beginWrite() {
+		u.releaseConn(c, unregister())
+		return attemptResult{status: policy.NotSent}
 	}
-	if _, err := c.Write(m.encode(max(0, wait-time.Since(began)))); err != nil {
-		release()
-		u.put(c, false)
-		return reply{status: policy.ConnectFailed}
+	if _, err := c.Write(outgoing.encode(max(0, timeLeft-time.Since(startedAt)))); err != nil {
+		unregister()
+		u.releaseConn(c, false)
+		return attemptResult{status: policy.ConnectFailed}
 	}
-	may.wrote()
-	p, reusable := c.read(ctx)
-	u.put(c, release() && reusable)
-	return p
+	permit.finishWrite()
+	result, reusable := c.readResult(ctx)
+	u.releaseConn(c, unregister() && reusable)
+	return result
 }
 
 // read takes in an answer. What can't be read may have run, as may whatever is
 // neither 200 nor marked as unprocessed.
-func (c *conn) read(ctx context.Context) (p reply, reusable bool) {
-	c.budget.N = maxAnswerHead + maxBody
-	a, err := readAnswer(c.in,
-		func() { c.limit(ctx, time.Time{}) },
-		func() { c.limit(ctx, time.Now().Add(stallFor)) })
+func (c *serverConn) readResult(ctx context.Context) (result attemptResult, reusable bool) {
+	c.limitedInput.N = maxResponseHeadBytes + maxBodyBytes
+	response, err := readResponse(c.reader,
+		func() { c.setResponseDeadline(ctx, time.Time{}) },
+		func() { c.setResponseDeadline(ctx, time.Now().Add(responseStallTimeout)) })
 	if err != nil {
-		return reply{status: policy.ConnectionReset}, false
+		return attemptResult{status: policy.ConnectionReset}, false
 	}
-	turnedAway := a.code == http.StatusServiceUnavailable || a.code == http.StatusGatewayTimeout
+	isUnavailable := response.statusCode == http.StatusServiceUnavailable || response.statusCode == http.StatusGatewayTimeout
 	switch {
-	case a.code == http.StatusOK:
-		p = reply{status: policy.OK, contentType: a.header.Get("Content-Type"), body: a.body}
-	case turnedAway && a.header.Get("X-Unprocessed") == "1":
-		p.status = policy.Rejected
+	case response.statusCode == http.StatusOK:
+		result = attemptResult{status: policy.OK, contentType: response.header.Get("Content-Type"), body: response.body}
+	case isUnavailable && response.header.Get("X-Unprocessed") == "1":
+		result.status = policy.Rejected
 	default:
-		p.status = policy.ServerError
-		p.rejected = a.code/100 == 4 && a.code != http.StatusRequestTimeout && a.code != http.StatusTooManyRequests
+		result.status = policy.ServerError
+		result.invalidRequest = response.statusCode/100 == 4 && response.statusCode != http.StatusRequestTimeout && response.statusCode != http.StatusTooManyRequests
 	}
-	c.limit(ctx, time.Time{})
-	return p, !a.closes && c.in.Buffered() == 0
+	c.setResponseDeadline(ctx, time.Time{})
+	return result, !response.closesConn && c.reader.Buffered() == 0
 }
 
 // limit sets the time limit on reading, but leaves one in place that ctx has set.
-func (c *conn) limit(ctx context.Context, at time.Time) {
+func (c *serverConn) setResponseDeadline(ctx context.Context, at time.Time) {
 	c.SetReadDeadline(at)
 	if ctx.Err() != nil {
 		c.SetReadDeadline(time.Unix(1, 0))
@@ -182,56 +182,56 @@
 
 // get gives an idle connection that has settled, is young and open still, or a
 // new one.
-func (u *upstream) get(ctx context.Context, to backend) (*conn, error) {
+func (u *upstream) acquireConn(ctx context.Context, incarnation serverIncarnation) (*serverConn, error) {
 	u.mu.Lock()
 	for {
-		list := u.idle[to]
-		i := len(list) - 1
-		for i >= 0 && time.Since(list[i].idleSince) < settleFor {
+		conns := u.idleConns[incarnation]
+		i := len(conns) - 1
+		for i >= 0 && time.Since(conns[i].idleSince) < minIdleBeforeReuse {
 			i--
 		}
 		if i < 0 {
 			break
 		}
-		c := list[i]
-		u.idle[to] = slices.Delete(list, i, i+1)
-		if time.Since(c.idleSince) < u.idleFor && c.quiet() {
+		c := conns[i]
+		u.idleConns[incarnation] = slices.Delete(conns, i, i+1)
+		if time.Since(c.idleSince) < u.maxIdle && c.isOpenAndSilent() {
 			u.mu.Unlock()
 			return c, nil
 		}
-		u.close(c, closedStale)
+		u.closeConn(c, closedStale)
 	}
-	if u.open >= u.most && !u.evict() {
+	if u.openConns >= u.maxConns && !u.evictOldestIdle() {
 		u.mu.Unlock()
-		return nil, errNoSockets
+		return nil, errConnLimit
 	}
-	u.open++
+	u.openConns++
 	u.mu.Unlock()
 
-	nc, err := u.dialer.dial(ctx, to.addr)
+	tcpConn, err := u.dialer.dial(ctx, incarnation.addr)
 	if err != nil {
 		u.mu.Lock()
-		u.open--
+		u.openConns--
 		u.mu.Unlock()
-		u.log.Debug("connection to server failed", "endpoint", to.addr, "err", err)
+		u.log.Debug("connection to server failed", "endpoint", incarnation.addr, "err", err)
 		return nil, fmt.Errorf("connect: %w", err)
 	}
-	c := &conn{TCPConn: nc.(*net.TCPConn), to: to}
-	c.budget.R = c.TCPConn
-	c.in = bufio.NewReaderSize(&c.budget, 4<<10)
+	c := &serverConn{TCPConn: tcpConn.(*net.TCPConn), incarnation: incarnation}
+	c.limitedInput.R = c.TCPConn
+	c.reader = bufio.NewReaderSize(&c.limitedInput, 4<<10)
 	return c, nil
 }
 
 // put takes a connection back, or closes it if it is of no further use.
-func (u *upstream) put(c *conn, reusable bool) {
+func (u *upstream) releaseConn(c *serverConn, reusable bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !reusable {
-		u.close(c, closedUnusable)
+		u.closeConn(c, closedUnusable)
 		return
 	}
 	c.idleSince = time.Now()
-	u.idle[c.to] = append(u.idle[c.to], c)
+	u.idleConns[c.incarnation] = append(u.idleConns[c.incarnation], c)
 }
 
 // closeReason tells why a connection to a server was closed, for the log.
@@ -245,71 +245,71 @@
 )
 
 // close needs the lock.
-func (u *upstream) close(c *conn, reason closeReason) {
-	u.open--
+func (u *upstream) closeConn(c *serverConn, reason closeReason) {
+	u.openConns--
 	c.Close()
-	u.log.Debug("connection to server closed", "endpoint", c.to.addr, "reason", string(reason))
+	u.log.Debug("connection to server closed", "endpoint", c.incarnation.addr, "reason", string(reason))
 }
 
 // evict closes the connection that has been idle longest; it needs the lock.
-func (u *upstream) evict() bool {
-	var oldest *conn
-	for _, list := range u.idle {
-		if len(list) > 0 && (oldest == nil || list[0].idleSince.Before(oldest.idleSince)) {
-			oldest = list[0]
+func (u *upstream) evictOldestIdle() bool {
+	var oldest *serverConn
+	for _, conns := range u.idleConns {
+		if len(conns) > 0 && (oldest == nil || conns[0].idleSince.Before(oldest.idleSince)) {
+			oldest = conns[0]
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	u.idle[oldest.to] = slices.Delete(u.idle[oldest.to], 0, 1)
-	u.close(oldest, closedForRoom)
+	u.idleConns[oldest.incarnation] = slices.Delete(u.idleConns[oldest.incarnation], 0, 1)
+	u.closeConn(oldest, closedForRoom)
 	return true
 }
 
 // drop closes the idle connections to a server that is gone.
-func (u *upstream) drop(to backend) {
+func (u *upstream) closeIdle(incarnation serverIncarnation) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for _, c := range u.idle[to] {
-		u.close(c, closedReplaced)
+	for _, c := range u.idleConns[incarnation] {
+		u.closeConn(c, closedReplaced)
 	}
-	delete(u.idle, to)
+	delete(u.idleConns, incarnation)
 }
 
 // sweep closes idle connections that are old or that the server has closed, so
 // that they don't go on holding descriptors.
-func (u *upstream) sweep() {
+func (u *upstream) closeStale() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for to, list := range u.idle {
-		kept := list[:0]
-		for _, c := range list {
-			if time.Since(c.idleSince) < u.idleFor && c.quiet() {
+	for incarnation, conns := range u.idleConns {
+		kept := conns[:0]
+		for _, c := range conns {
+			if time.Since(c.idleSince) < u.maxIdle && c.isOpenAndSilent() {
 				kept = append(kept, c)
 			} else {
-				u.close(c, closedStale)
+				u.closeConn(c, closedStale)
 			}
 		}
-		clear(list[len(kept):])
-		if u.idle[to] = kept; len(kept) == 0 {
-			delete(u.idle, to)
+		clear(conns[len(kept):])
+		if u.idleConns[incarnation] = kept; len(kept) == 0 {
+			delete(u.idleConns, incarnation)
 		}
 	}
 }
 
 // quiet tells that an idle connection is open and that nothing has come on it: a
 // look without waiting. A close that is seen here costs no request.
-func (c *conn) quiet() bool {
+func (c *serverConn) isOpenAndSilent() bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return false
 	}
 	var b [1]byte
-	var peek error
+	var peekErr error
 	err = raw.Read(func(fd uintptr) bool {
-		_, _, peek = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		_, _, peekErr = syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		return true
 	})
-	return err == nil && errors.Is(peek, syscall.EAGAIN)
+	return err == nil && errors.Is(peekErr, syscall.EAGAIN)
 }
