--- a/cmd/otterstep/late_discovery_test.go
+++ b/cmd/otterstep/late_discovery_test.go
@@ -63,7 +63,7 @@
 
 // allBut is a fault that strikes all calls of a node but every nth.
 func allBut(nth int, fault standin.Fault) func() standin.Fault {
-	return func() standin.Fault { return standin.AllBut(nth, fault) }
+	return func() standin.Fault { return standin.AllButEveryNth(nth, fault) }
 }
 
 // allowed is how long after the instant a node may still send to servers that left.
@@ -81,29 +81,29 @@
 }
 
 var lateFaults = []lateFault{
-	{name: "asked, calls come late by 2.5 s", fault: always(standin.Slow(2500 * time.Millisecond))},
-	{name: "asked, calls come late by 5 s", fault: always(standin.Slow(5 * time.Second))},
-	{name: "asked, answers come late by 2.5 s", fault: always(standin.SlowAnswers(2500 * time.Millisecond))},
-	{name: "asked, answers come late by 4 s", fault: always(standin.SlowAnswers(4 * time.Second))},
-	{name: "asked, answers come late by 5.5 s", fault: always(standin.SlowAnswers(5500 * time.Millisecond))},
+	{name: "asked, calls come late by 2.5 s", fault: always(standin.DelayedCalls(2500 * time.Millisecond))},
+	{name: "asked, calls come late by 5 s", fault: always(standin.DelayedCalls(5 * time.Second))},
+	{name: "asked, answers come late by 2.5 s", fault: always(standin.DelayedAnswers(2500 * time.Millisecond))},
+	{name: "asked, answers come late by 4 s", fault: always(standin.DelayedAnswers(4 * time.Second))},
+	{name: "asked, answers come late by 5.5 s", fault: always(standin.DelayedAnswers(5500 * time.Millisecond))},
 	{name: "asked, refuses for 12 s", fault: always(standin.Unavailable), lasts: 12 * time.Second},
 	{name: "asked, resets for 75 s", fault: always(standin.Reset), lasts: 75 * time.Second},
-	{name: "asked, says nothing for 12 s", fault: always(standin.Silent), lasts: 12 * time.Second},
-	{name: "asked, says nothing for 75 s", fault: always(standin.Silent), lasts: 75 * time.Second},
-	{name: "asked, refuses after 2 s for 75 s", fault: always(standin.Crowded(2 * time.Second)), lasts: 75 * time.Second},
+	{name: "asked, says nothing for 12 s", fault: always(standin.NoAnswer), lasts: 12 * time.Second},
+	{name: "asked, says nothing for 75 s", fault: always(standin.NoAnswer), lasts: 75 * time.Second},
+	{name: "asked, refuses after 2 s for 75 s", fault: always(standin.UnavailableAfter(2 * time.Second)), lasts: 75 * time.Second},
 	{name: "asked, refuses two of three calls", fault: allBut(3, standin.Unavailable)},
-	{name: "asked, cuts three of four answers", fault: allBut(4, standin.Cut)},
-	{name: "asked, one of two calls dies", fault: allBut(2, standin.Silent)},
+	{name: "asked, cuts three of four answers", fault: allBut(4, standin.Truncated)},
+	{name: "asked, one of two calls dies", fault: allBut(2, standin.NoAnswer)},
 	{name: "asked, answers in pieces", fault: always(standin.Pieces(4, 700*time.Millisecond))},
-	{name: "asked, new configurations, late calls", reload: true, fault: always(standin.Slow(1200 * time.Millisecond))},
+	{name: "asked, new configurations, late calls", reload: true, fault: always(standin.DelayedCalls(1200 * time.Millisecond))},
 	{name: "asked, new configurations, refuses for 1.5 s", reload: true, fault: always(standin.Unavailable), lasts: 1500 * time.Millisecond},
-	{name: "pushed, says nothing for 0.7 s", pushed: true, fault: always(standin.Silent), lasts: 700 * time.Millisecond},
-	{name: "pushed, says nothing for 2 s", pushed: true, fault: always(standin.Silent), lasts: 2 * time.Second},
-	{name: "pushed, says nothing for 6 s", pushed: true, fault: always(standin.Silent), lasts: 6 * time.Second},
+	{name: "pushed, says nothing for 0.7 s", pushed: true, fault: always(standin.NoAnswer), lasts: 700 * time.Millisecond},
+	{name: "pushed, says nothing for 2 s", pushed: true, fault: always(standin.NoAnswer), lasts: 2 * time.Second},
+	{name: "pushed, says nothing for 6 s", pushed: true, fault: always(standin.NoAnswer), lasts: 6 * time.Second},
 	{name: "pushed, stalls for 4 s", pushed: true, fault: always(standin.Stalled), lasts: 4 * time.Second},
-	{name: "pushed, sends a head for 3 s", pushed: true, fault: always(standin.HeadOnly), lasts: 3 * time.Second},
-	{name: "pushed, says nothing at the start for 7 s", pushed: true, start: true, fault: always(standin.Silent), lasts: 7 * time.Second},
-	{name: "asked, says nothing at the start for 7 s", start: true, fault: always(standin.Silent), lasts: 7 * time.Second},
+	{name: "pushed, sends a head for 3 s", pushed: true, fault: always(standin.HeadersOnly), lasts: 3 * time.Second},
+	{name: "pushed, says nothing at the start for 7 s", pushed: true, start: true, fault: always(standin.NoAnswer), lasts: 7 * time.Second},
+	{name: "asked, says nothing at the start for 7 s", start: true, fault: always(standin.NoAnswer), lasts: 7 * time.Second},
 }
 
 // lateNode is one process of the program, with a client that asks it all the time.
@@ -249,7 +249,7 @@
 
 // awaitCall waits for the next call to a discovery.
 func (f *lateFleetRun) awaitCall(d *standin.Discovery) {
-	for calls, end := d.Calls(), time.Now().Add(readyWithin); d.Calls() == calls; time.Sleep(time.Millisecond) {
+	for calls, end := d.CallCount(), time.Now().Add(readyWithin); d.CallCount() == calls; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			f.t.Errorf("no call to discovery in %v", readyWithin)
 			return
@@ -266,7 +266,7 @@
 		t.Cleanup(d.Close)
 		f.discoveries = append(f.discoveries, d)
 	}
-	f.known = f.discoveries[0].Known()
+	f.known = f.discoveries[0].KnownList()
 	over := make(chan struct{})
 	var clients sync.WaitGroup
 	begin := func() {
--- a/cmd/otterstep/restart_test.go
+++ b/cmd/otterstep/restart_test.go
@@ -55,12 +55,12 @@
 const goneServers = 15
 
 // line gives discovery's line of a server.
-func line(uid, addr, state string) standin.Line {
-	return standin.Line{UID: uid, Endpoint: addr, AZ: "a", State: state, CapacityHint: 1}
+func line(uid, addr, state string) standin.Entry {
+	return standin.Entry{UID: uid, Endpoint: addr, AZ: "a", State: state, CapacityHint: 1}
 }
 
 // goneLines gives the lines of the servers that leave, all of them at one address.
-func goneLines(addr, state string) (all []standin.Line) {
+func goneLines(addr, state string) (all []standin.Entry) {
 	for i := range goneServers {
 		all = append(all, line(fmt.Sprint("gone-", i), addr, state))
 	}
@@ -147,15 +147,15 @@
 // the node's first call to discovery, and it can't know. So it serves nothing from the list of
 // before until discovery has told it what changed, also where the first calls come to nothing.
 func TestRestartedNodeSendsNothingToServersThatAreGone(t *testing.T) {
-	crowded := standin.Slow(1200 * time.Millisecond)
+	crowded := standin.DelayedCalls(1200 * time.Millisecond)
 	for name, faults := range map[string][]standin.Fault{
 		"discovery answers at once":           nil,
 		"discovery resets the first call":     {standin.Reset},
 		"discovery answers 503 to two calls":  {standin.Unavailable, standin.Unavailable},
 		"discovery's first answer is garbage": {standin.Malformed},
-		"discovery's first answer is cut off": {standin.Cut},
-		"discovery says nothing at first":     {standin.Silent},
-		"discovery's first answer stalls":     {standin.HeadOnly},
+		"discovery's first answer is cut off": {standin.Truncated},
+		"discovery says nothing at first":     {standin.NoAnswer},
+		"discovery's first answer stalls":     {standin.HeadersOnly},
 		"discovery is crowded":                {crowded, crowded, crowded},
 	} {
 		for _, mode := range []string{"on_request", "pushed"} {
@@ -165,7 +165,7 @@
 				gone, missent := countingBackend(t)
 				d := standin.NewDiscovery(append(goneLines(gone, standin.InService), line("s1", stays, standin.InService)))
 				t.Cleanup(d.Close)
-				known := d.Known()
+				known := d.KnownList()
 				d.Change(goneLines(gone, standin.Terminated)...)
 				d.SetFault(standin.Sequence(faults...))
 				n := startRestarted(t, d.Addr(), mode, known)
@@ -198,7 +198,7 @@
 	gone, missent := countingBackend(t)
 	addr := freeAddress(t)
 	before := append(goneLines(gone, standin.InService), line("s1", stays, standin.InService))
-	n := startRestarted(t, addr, "on_request", standin.List{Rev: 1, All: true, Targets: before})
+	n := startRestarted(t, addr, "on_request", standin.List{Version: 1, IsWhole: true, Entries: before})
 	n.up()
 	for i := 0; missent.Load() == 0; i++ {
 		if time.Since(n.began) > 30*time.Second {
@@ -229,7 +229,7 @@
 			t.Fatalf("a server that is gone is sent to %v after discovery's return", toldAfter)
 		}
 	}
-	if d.Calls() == 0 {
+	if d.CallCount() == 0 {
 		t.Error("the node has not called discovery since its return")
 	}
 }
@@ -242,7 +242,7 @@
 	gone, missent := countingBackend(t)
 	addr := freeAddress(t)
 	before := append(goneLines(gone, standin.InService), line("s1", stays, standin.InService))
-	n := startRestarted(t, addr, "pushed", standin.List{Rev: 1, All: true, Targets: before})
+	n := startRestarted(t, addr, "pushed", standin.List{Version: 1, IsWhole: true, Entries: before})
 	n.up()
 	i := 0
 	for ; time.Since(n.began) < readyWithin; i++ {
--- a/cmd/otterstep/signals_test.go
+++ b/cmd/otterstep/signals_test.go
@@ -27,7 +27,7 @@
 }
 
 // startSignalled starts the program with a known list, which one of its modes follows.
-func startSignalled(t *testing.T, mode string, lines ...standin.Line) *signalled {
+func startSignalled(t *testing.T, mode string, lines ...standin.Entry) *signalled {
 	t.Helper()
 	p := &signalled{
 		t: t, discovery: standin.NewDiscovery(lines), addr: freeAddress(t), ended: make(chan error, 1),
@@ -41,7 +41,7 @@
 // configure writes the configuration.
 func (p *signalled) configure(mode, discovery string) {
 	p.config = configFile(p.t, func(c map[string]any) {
-		c["listen"], c["discovery"], c["known"] = p.addr, discovery, p.discovery.Known()
+		c["listen"], c["discovery"], c["known"] = p.addr, discovery, p.discovery.KnownList()
 		c["settings"] = map[string]any{
 			"Balancers": 8, "Me": 0, "RegistryMode": mode, "Zones": []string{"a"},
 			"Classes":  []any{map[string]any{"Name": "read", "DeadlineMs": 2500, "PromiseMs": 1000, "Effect": "pure"}},
@@ -111,8 +111,8 @@
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
 			p := startSignalled(t, mode, listed)
-			p.discovery.SetFault(standin.Silent)
-			other := standin.NewDiscovery([]standin.Line{listed})
+			p.discovery.SetFault(standin.NoAnswer)
+			other := standin.NewDiscovery([]standin.Entry{listed})
 			t.Cleanup(other.Close)
 			p.start()
 			p.status(http.StatusServiceUnavailable)
@@ -124,8 +124,8 @@
 			began := time.Now()
 			p.cmd.Process.Signal(syscall.SIGHUP)
 			p.status(http.StatusOK)
-			if took := time.Since(began); took > reloadAfter || other.Calls() == 0 {
-				t.Errorf("ready %v after the new configuration, %d calls to the address that it names", took, other.Calls())
+			if took := time.Since(began); took > reloadAfter || other.CallCount() == 0 {
+				t.Errorf("ready %v after the new configuration, %d calls to the address that it names", took, other.CallCount())
 			}
 			if !ask(&p.client, p.addr, 1) {
 				t.Error("a request is not served")
@@ -173,7 +173,7 @@
 	for _, fault := range []struct {
 		name  string
 		fault standin.Fault
-	}{{"well", nil}, {"refuses at first", standin.Unavailable}, {"says nothing at first", standin.Silent}} {
+	}{{"well", nil}, {"refuses at first", standin.Unavailable}, {"says nothing at first", standin.NoAnswer}} {
 		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
 			var missent atomic.Int64
@@ -185,7 +185,7 @@
 				echo(w, r)
 			}))
 			stays := startServer(t, http.HandlerFunc(echo))
-			var lines []standin.Line
+			var lines []standin.Entry
 			for i := range 8 {
 				lines = append(lines, line(fmt.Sprint("leaves-", i), leaves, standin.InService))
 			}
--- a/cmd/otterstep/soak_faults_test.go
+++ b/cmd/otterstep/soak_faults_test.go
@@ -25,7 +25,7 @@
 		uid := soakUID(2 + rng.IntN(soakServers-2))
 		next := []string{standin.Terminating, standin.Terminated}[rng.IntN(2)]
 		anew := false
-		if w.history.Line(uid).State != standin.InService {
+		if w.history.Entry(uid).State != standin.InService {
 			next, anew = standin.InService, rng.IntN(3) > 0
 		}
 		w.change(uid, next, anew)
@@ -39,20 +39,20 @@
 var soakFramings = []standin.Framing{
 	{},
 	{Indented: true},
-	{Coding: standin.ByChunks},
-	{Coding: standin.ByChunks, VersionLast: true},
-	{Coding: standin.ByChunks, Ending: standin.EndsLate, EndDelay: 8 * time.Second},
-	{Coding: standin.ByChunks, Ending: standin.EndsLate, EndDelay: time.Second, Indented: true},
-	{Coding: standin.ByChunks, Ending: standin.EndsNever},
-	{Coding: standin.ByChunks, Ending: standin.EndsByReset},
+	{Delimiter: standin.Chunked},
+	{Delimiter: standin.Chunked, VersionLast: true},
+	{Delimiter: standin.Chunked, Ending: standin.EndsLate, EndDelay: 8 * time.Second},
+	{Delimiter: standin.Chunked, Ending: standin.EndsLate, EndDelay: time.Second, Indented: true},
+	{Delimiter: standin.Chunked, Ending: standin.EndsNever},
+	{Delimiter: standin.Chunked, Ending: standin.EndsByReset},
 	{Ending: standin.EndsLate, EndDelay: 8 * time.Second},
 	{Ending: standin.EndsByReset},
-	{Coding: standin.ByClose},
-	{Coding: standin.ByClose, Ending: standin.EndsLate, EndDelay: 8 * time.Second},
-	{Coding: standin.ByClose, Ending: standin.EndsByReset, Indented: true},
+	{Delimiter: standin.UntilClose},
+	{Delimiter: standin.UntilClose, Ending: standin.EndsLate, EndDelay: 8 * time.Second},
+	{Delimiter: standin.UntilClose, Ending: standin.EndsByReset, Indented: true},
 	{Pieces: 5, Pause: 10 * time.Millisecond},
-	{Coding: standin.ByChunks, Pieces: 9, Pause: 5 * time.Millisecond, Indented: true},
-	{Coding: standin.ByChunks, ByLine: true, Pause: 5 * time.Millisecond, Ending: standin.EndsNever},
+	{Delimiter: standin.Chunked, Pieces: 9, Pause: 5 * time.Millisecond, Indented: true},
+	{Delimiter: standin.Chunked, EntryPerPiece: true, Pause: 5 * time.Millisecond, Ending: standin.EndsNever},
 }
 
 // reframe has answers come in other forms, again and again.
@@ -129,12 +129,12 @@
 // short is a fault of the link that is over soon: it does not make what it hides count as told later.
 func (w *soakWorld) short() {
 	address := w.at()
-	fault := standin.LinkDelays + standin.LinkFault(w.rng.IntN(int(standin.LinkSilent)))
+	fault := standin.LinkDelays + standin.LinkFault(w.rng.IntN(int(standin.LinkDropsData)))
 	w.note("link to discovery: %v", fault)
 	w.hides(func() {
 		w.setLink(address, fault)
 		sleepFor(w.rng, 100*time.Millisecond, time.Second)
-		w.setLink(address, standin.LinkWhole)
+		w.setLink(address, standin.LinkHealthy)
 	})
 	w.note("link to discovery: whole")
 	time.Sleep(toldAfter / 2) // it strikes once in that time
@@ -154,13 +154,13 @@
 		most = time.Second
 	}
 	delay := time.Duration(w.rng.Float64() * float64(most))
-	slow, shorter := standin.SlowAnswers(delay), standin.SlowAnswers(min(delay, 3*time.Second))
+	slow, shorter := standin.DelayedAnswers(delay), standin.DelayedAnswers(min(delay, 3*time.Second))
 	w.play([]soakFault{
 		{fmt.Sprintf("answers late by %v", delay), slow},
-		{fmt.Sprintf("calls late by %v", delay), standin.Slow(delay)},
+		{fmt.Sprintf("calls late by %v", delay), standin.DelayedCalls(delay)},
 		{fmt.Sprintf("answers late by %v, every other call refused", delay), standin.Cycle(standin.Unavailable, shorter)},
 		{fmt.Sprintf("answers late by %v, every other call reset instead", delay), standin.Cycle(
-			standin.After(min(delay, 2*time.Second), standin.Reset), standin.SlowAnswers(min(delay, 2*time.Second)))},
+			standin.After(min(delay, 2*time.Second), standin.Reset), standin.DelayedAnswers(min(delay, 2*time.Second)))},
 		{fmt.Sprintf("answers in 50 pieces over %v", delay), standin.Pieces(50, delay/50)},
 		{fmt.Sprintf("answers late by %v at times", delay), standin.Cycle(nil, slow, shorter)},
 	}, func() {
@@ -185,29 +185,29 @@
 // spoilt is a discovery that is slow, or spoils some of its answers, for a long time.
 func (w *soakWorld) spoilt() {
 	w.play([]soakFault{
-		{"calls late by 1 s", standin.Slow(time.Second)},
-		{"answers late by 2 s", standin.SlowAnswers(2 * time.Second)},
+		{"calls late by 1 s", standin.DelayedCalls(time.Second)},
+		{"answers late by 2 s", standin.DelayedAnswers(2 * time.Second)},
 		{"answers in pieces", standin.Pieces(3, 300*time.Millisecond)},
-		{"refuses every other call", standin.AllBut(2, standin.Unavailable)},
-		{"cuts two of three answers", standin.AllBut(3, standin.Cut)},
-		{"spoils every other answer", standin.AllBut(2, standin.Malformed)},
+		{"refuses every other call", standin.AllButEveryNth(2, standin.Unavailable)},
+		{"cuts two of three answers", standin.AllButEveryNth(3, standin.Truncated)},
+		{"spoils every other answer", standin.AllButEveryNth(2, standin.Malformed)},
 	}, func() { sleepFor(w.rng, 3*time.Second, 10*time.Second) })
 }
 
 // unfinished is a discovery whose answers are not whole for some time or ever, while servers are told to drain.
 func (w *soakWorld) unfinished() {
-	rest := standin.Framing{Coding: standin.ByChunks, RestAfter: 2 * time.Second}
-	byLine := standin.Framing{Coding: standin.ByChunks, ByLine: true, Pause: 200 * time.Millisecond}
-	endless := standin.Framing{Coding: standin.ByChunks, Pieces: 7, Pause: 100 * time.Millisecond, Ending: standin.EndsNever}
-	cut := standin.Framing{Coding: standin.ByChunks, CutAfter: 1}
-	cutLater := standin.Framing{CutAfter: 3, Indented: true}
+	rest := standin.Framing{Delimiter: standin.Chunked, RestDelay: 2 * time.Second}
+	byLine := standin.Framing{Delimiter: standin.Chunked, EntryPerPiece: true, Pause: 200 * time.Millisecond}
+	endless := standin.Framing{Delimiter: standin.Chunked, Pieces: 7, Pause: 100 * time.Millisecond, Ending: standin.EndsNever}
+	cut := standin.Framing{Delimiter: standin.Chunked, ResetAfterEntries: 1}
+	cutLater := standin.Framing{ResetAfterEntries: 3, Indented: true}
 	w.play([]soakFault{
 		{"the rest of answers comes late", standin.Framed(rest)},
-		{"the rest of every other answer comes late", standin.AllBut(2, standin.Framed(rest))},
+		{"the rest of every other answer comes late", standin.AllButEveryNth(2, standin.Framed(rest))},
 		{"answers line by line", standin.Framed(byLine)},
 		{"answers in pieces that never end", standin.Framed(endless)},
-		{"cuts every other answer behind a line", standin.AllBut(2, standin.Framed(cut))},
-		{"cuts every other answer behind three lines", standin.AllBut(2, standin.Framed(cutLater))},
+		{"cuts every other answer behind a line", standin.AllButEveryNth(2, standin.Framed(cut))},
+		{"cuts every other answer behind three lines", standin.AllButEveryNth(2, standin.Framed(cutLater))},
 	}, func() {
 		for range 3 {
 			sleepFor(w.rng, 500*time.Millisecond, 2*time.Second)
@@ -232,7 +232,7 @@
 
 // outdated is a discovery that answers some calls from before, while servers are told to drain.
 func (w *soakWorld) outdated() {
-	patterns := []standin.Stale{{Count: 1, Of: 2}, {Count: 2, Of: 4}, {Count: 2, Of: 3}, {Count: 3, Of: 5}}
+	patterns := []standin.StalePattern{{Count: 1, Period: 2}, {Count: 2, Period: 4}, {Count: 2, Period: 3}, {Count: 3, Period: 5}}
 	stale := patterns[w.rng.IntN(len(patterns))]
 	stale.Kind = []standin.StaleKind{standin.StaleReplica, standin.StaleList}[w.rng.IntN(2)]
 	stale.Lag = time.Duration((0.5 + 3.5*w.rng.Float64()) * float64(time.Second))
@@ -241,10 +241,10 @@
 	w.hides(func() {
 		for range 3 {
 			w.leave()
-			replica.SetStale(stale)
+			replica.SetStalePattern(stale)
 			sleepFor(w.rng, time.Second, 3*time.Second)
 		}
-		replica.SetStale(standin.Stale{})
+		replica.SetStalePattern(standin.StalePattern{})
 	})
 	w.note("no stale calls")
 }
@@ -264,10 +264,10 @@
 // outOfService is a discovery that answers nothing, or nothing whole, while something happens.
 func (w *soakWorld) outOfService(meanwhile func()) {
 	faults := []soakFault{
-		{"refuses", standin.Unavailable}, {"resets", standin.Reset}, {"says nothing", standin.Silent},
-		{"sends heads", standin.HeadOnly}, {"stalls", standin.Stalled}, {"is crowded", standin.Crowded(time.Second)},
-		{"cuts all answers behind a line", standin.Framed(standin.Framing{Coding: standin.ByChunks, CutAfter: 1})},
-		{"cuts all answers behind two lines", standin.Framed(standin.Framing{CutAfter: 2})},
+		{"refuses", standin.Unavailable}, {"resets", standin.Reset}, {"says nothing", standin.NoAnswer},
+		{"sends heads", standin.HeadersOnly}, {"stalls", standin.Stalled}, {"is crowded", standin.UnavailableAfter(time.Second)},
+		{"cuts all answers behind a line", standin.Framed(standin.Framing{Delimiter: standin.Chunked, ResetAfterEntries: 1})},
+		{"cuts all answers behind two lines", standin.Framed(standin.Framing{ResetAfterEntries: 2})},
 	}
 	fault := faults[w.rng.IntN(len(faults))]
 	replica := w.at().replica
@@ -284,11 +284,11 @@
 func (w *soakWorld) outOfReach(meanwhile func()) {
 	address := w.at()
 	w.outageBegins(time.Now())
-	fault := []standin.LinkFault{standin.LinkResets, standin.LinkSilent, standin.LinkCuts}[w.rng.IntN(3)]
+	fault := []standin.LinkFault{standin.LinkResets, standin.LinkDropsData, standin.LinkTruncates}[w.rng.IntN(3)]
 	w.note("outage of discovery: %v", fault)
 	w.setLink(address, fault)
 	meanwhile()
-	w.setLink(address, standin.LinkWhole)
+	w.setLink(address, standin.LinkHealthy)
 	w.note("discovery is back")
 	w.outageEnds(time.Now())
 }
@@ -296,22 +296,22 @@
 // serverLink is a fault of the links to half of the servers, one of those that stay among them.
 func (w *soakWorld) serverLink() {
 	fault := []standin.LinkFault{
-		standin.LinkDelays, standin.LinkCuts, standin.LinkCloses, standin.LinkResets, standin.LinkSilent,
+		standin.LinkDelays, standin.LinkTruncates, standin.LinkCloses, standin.LinkResets, standin.LinkDropsData,
 	}[w.rng.IntN(5)]
 	w.note("links to servers: %v", fault)
 	for i := 0; i < len(w.servers); i += 2 {
-		w.servers[i].Set(fault)
+		w.servers[i].SetFault(fault)
 	}
 	sleepFor(w.rng, 500*time.Millisecond, 3*time.Second)
 	for _, link := range w.servers {
-		link.Set(standin.LinkWhole)
+		link.SetFault(standin.LinkHealthy)
 	}
 	w.note("links to servers: whole")
 }
 
 // restart ends the node and starts it again with the list of before.
 func (w *soakWorld) restart(n *soakNode, end func()) {
-	known := w.at().replica.Known()
+	known := w.at().replica.KnownList()
 	sleepFor(w.rng, 0, time.Second)
 	w.note("the node is ended")
 	end()
@@ -324,7 +324,7 @@
 // restartUnder restarts the node while discovery can't be reached. Some of the list that it has to start
 // with counts as told to be otherwise before.
 func (w *soakWorld) restartUnder(n *soakNode, outage func(meanwhile func())) {
-	known := w.at().replica.Known()
+	known := w.at().replica.KnownList()
 	sleepFor(w.rng, time.Second, toldAfter+3*time.Second)
 	outage(func() {
 		sleepFor(w.rng, 0, time.Second)
@@ -342,7 +342,7 @@
 func (w *soakWorld) another() *soakAddress {
 	present := w.at().number
 	next := w.addresses[(present+1+w.rng.IntN(len(w.addresses)-1))%len(w.addresses)]
-	w.setLink(next, standin.LinkWhole)
+	w.setLink(next, standin.LinkHealthy)
 	return next
 }
 
@@ -351,7 +351,7 @@
 	first := w.rng.IntN(soakServers - 2)
 	for i := range soakServers - 2 {
 		uid := soakUID(2 + (first+i)%(soakServers-2))
-		if w.history.Line(uid).State == standin.InService {
+		if w.history.Entry(uid).State == standin.InService {
 			w.change(uid, standin.Terminating, false)
 			break
 		}
@@ -373,10 +373,10 @@
 		w.movesTo(next, at)
 		n.signal(syscall.SIGHUP)
 		sleepFor(w.rng, 50*time.Millisecond, 300*time.Millisecond)
-		n.write(next.link.Addr(), next.replica.Known())
+		n.write(next.link.Addr(), next.replica.KnownList())
 		at = time.Now()
 	} else {
-		n.write(next.link.Addr(), next.replica.Known())
+		n.write(next.link.Addr(), next.replica.KnownList())
 		w.movesTo(next, at)
 		n.signal(syscall.SIGHUP)
 	}
@@ -391,7 +391,7 @@
 	for range 3 {
 		next := w.another()
 		w.note("reload: address %d, which lags by %v", next.number, next.lag)
-		n.write(next.link.Addr(), next.replica.Known())
+		n.write(next.link.Addr(), next.replica.KnownList())
 		w.movesTo(next, time.Now())
 		n.signal(syscall.SIGHUP)
 		sleepFor(w.rng, 100*time.Millisecond, 600*time.Millisecond)
--- a/cmd/otterstep/soak_judge_test.go
+++ b/cmd/otterstep/soak_judge_test.go
@@ -127,17 +127,17 @@
 // An agent's process may send nothing before a whole answer, and what the node finds out itself counts.
 func TestSoakJudgeOfAProcessThatWasNotAnswered(t *testing.T) {
 	w := &soakWorld{t: t, pushed: true, present: &soakAddress{}, requests: map[string]*soakRequest{}}
-	w.processBegins(standin.List{Targets: []standin.Line{soakLine(standin.InService, 7)}})
+	w.processBegins(standin.List{Entries: []standin.Entry{soakLine(standin.InService, 7)}})
 	w.requests["r"] = &soakRequest{process: w.process}
 	observer := &soakObserver{w: w, address: w.present}
-	answer := &standin.Answer{Called: time.Now(), Began: time.Now(), List: standin.List{Rev: 2}}
+	answer := &standin.Answer{CalledAt: time.Now(), FirstByteAt: time.Now(), List: standin.List{Version: 2}}
 	w.judge(soakUID(0), "r", time.Now())
 	if len(w.problems) != 1 {
 		t.Errorf("a request before the first answer: %q", w.problems)
 	}
-	early := &standin.Answer{Called: time.Now().Add(-time.Minute), Began: time.Now()}
+	early := &standin.Answer{CalledAt: time.Now().Add(-time.Minute), FirstByteAt: time.Now()}
 	observer.Completing(early) // of a call of the process before
-	observer.Wrote(answer, answer.List.Targets, false)
+	observer.EntriesWritten(answer, answer.List.Entries, false)
 	w.judge(soakUID(0), "r", time.Now())
 	if len(w.problems) != 2 {
 		t.Errorf("a request before the first whole answer: %q", w.problems)
@@ -152,11 +152,11 @@
 // A request that a server gets past the grace has to be seen through the world, too.
 func TestSoakJudgeSeesARequestPastTheGrace(t *testing.T) {
 	w := &soakWorld{t: t, present: &soakAddress{}, requests: map[string]*soakRequest{}}
-	w.processBegins(standin.List{Targets: []standin.Line{soakLine(standin.InService, 7)}})
+	w.processBegins(standin.List{Entries: []standin.Entry{soakLine(standin.InService, 7)}})
 	w.requests["r"] = &soakRequest{process: w.process}
 	observer := &soakObserver{w: w, address: w.present}
-	answer := &standin.Answer{Called: time.Now(), Began: time.Now(), List: standin.List{Rev: 2, Targets: []standin.Line{soakLine(standin.Terminating, 7)}}}
-	observer.Wrote(answer, answer.List.Targets, false)
+	answer := &standin.Answer{CalledAt: time.Now(), FirstByteAt: time.Now(), List: standin.List{Version: 2, Entries: []standin.Entry{soakLine(standin.Terminating, 7)}}}
+	observer.EntriesWritten(answer, answer.List.Entries, false)
 	bound := drainGrace + soakSlack + soakLink
 	w.judge(soakUID(0), "r", time.Now())
 	if len(w.problems) != 0 {
--- a/cmd/otterstep/soak_test.go
+++ b/cmd/otterstep/soak_test.go
@@ -58,7 +58,7 @@
 		t: t, rng: rand.New(rand.NewPCG(seed, 1)), requests: map[string]*soakRequest{}, pushed: seed%3 == 2,
 		fleet: []int{1, 5, 300}[seed/3%3],
 	}
-	var lines []standin.Line
+	var lines []standin.Entry
 	for i := range soakServers {
 		link := startProxy(t, startServer(t, w.server(soakUID(i))))
 		w.servers = append(w.servers, link)
@@ -104,7 +104,7 @@
 func soak(t *testing.T, seed uint64) {
 	w := newSoakWorld(t, seed)
 	n := newSoakNode(w, seed)
-	n.start(w.present.replica.Known())
+	n.start(w.present.replica.KnownList())
 	ctx, stop := context.WithCancel(t.Context())
 	var parties sync.WaitGroup
 	var served atomic.Int64
--- a/cmd/otterstep/soak_world_test.go
+++ b/cmd/otterstep/soak_world_test.go
@@ -98,7 +98,7 @@
 func (w *soakWorld) change(uid, state string, anew bool) {
 	w.changing.Lock()
 	defer w.changing.Unlock()
-	line := w.history.Line(uid)
+	line := w.history.Entry(uid)
 	line.State = state
 	now := time.Now()
 	if anew {
@@ -234,7 +234,7 @@
 	w.mu.Lock()
 	w.written.linkChanges(address, fault, time.Now())
 	w.mu.Unlock()
-	address.link.Set(fault)
+	address.link.SetFault(fault)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.written.linkChanges(address, fault, time.Now())
@@ -314,4 +314,4 @@
 }
 
 // leaves tells whether a line takes its server out of service.
-func leaves(line standin.Line) bool { return line.State != standin.InService }
+func leaves(line standin.Entry) bool { return line.State != standin.InService }
--- a/cmd/otterstep/soak_written_judge_test.go
+++ b/cmd/otterstep/soak_written_judge_test.go
@@ -18,25 +18,25 @@
 
 func newWrittenTrial(t *testing.T) *writtenTrial {
 	trial := &writtenTrial{t: t, at: time.Now(), addresses: [2]*soakAddress{{number: 0}, {number: 1}}}
-	known := standin.List{Rev: 1, All: true, Targets: []standin.Line{soakLine(standin.InService, 7)}}
+	known := standin.List{Version: 1, IsWhole: true, Entries: []standin.Entry{soakLine(standin.InService, 7)}}
 	trial.written = newSoakWritten(trial.at, trial.addresses[0], known)
 	return trial
 }
 
 // soakLine is a line of the server of a trial.
-func soakLine(state string, bootMs int64) standin.Line {
-	return standin.Line{UID: soakUID(0), State: state, BootMs: bootMs}
+func soakLine(state string, bootMs int64) standin.Entry {
+	return standin.Entry{UID: soakUID(0), State: state, BootMs: bootMs}
 }
 
 // after gives the time since the process began.
 func (trial *writtenTrial) after(d time.Duration) time.Time { return trial.at.Add(d) }
 
 // answer is one that an address begins.
-func (trial *writtenTrial) answer(counter int, version int64, all bool, lines ...standin.Line) *standin.Answer {
+func (trial *writtenTrial) answer(counter int, version int64, all bool, lines ...standin.Entry) *standin.Answer {
 	trial.calls++
 	return &standin.Answer{
-		Number: trial.calls, Called: trial.at, Began: trial.after(time.Millisecond), Counter: counter,
-		List: standin.List{Rev: version, All: all, Targets: lines},
+		CallNumber: trial.calls, CalledAt: trial.at, FirstByteAt: trial.after(time.Millisecond), VersionRestarts: counter,
+		List: standin.List{Version: version, IsWhole: all, Entries: lines},
 	}
 }
 
@@ -45,7 +45,7 @@
 	if whole {
 		trial.written.completing(trial.addresses[address], answer, trial.after(after))
 	}
-	trial.written.wrote(trial.addresses[address], answer, answer.List.Targets, whole, trial.after(after))
+	trial.written.wrote(trial.addresses[address], answer, answer.List.Entries, whole, trial.after(after))
 }
 
 // expect checks whether the process may send to the server.
@@ -144,7 +144,7 @@
 	out := soakLine(standin.Terminating, 7)
 	for name, write := range map[string]func(trial *writtenTrial){
 		"a link that is broken": func(trial *writtenTrial) {
-			trial.written.linkChanges(trial.addresses[0], standin.LinkSilent, trial.after(0))
+			trial.written.linkChanges(trial.addresses[0], standin.LinkDropsData, trial.after(0))
 			trial.writes(0, trial.answer(0, 5, false, out), true, told)
 		},
 		"a link that breaks just behind it": func(trial *writtenTrial) {
@@ -161,7 +161,7 @@
 		"a call that is left just behind it": func(trial *writtenTrial) {
 			answer := trial.answer(0, 5, false, out)
 			trial.writes(0, answer, false, told)
-			trial.written.abandoned(0, answer.Number, trial.after(told+writtenUnsure))
+			trial.written.abandoned(0, answer.CallNumber, trial.after(told+writtenUnsure))
 		},
 		"an answer from before": func(trial *writtenTrial) {
 			trial.writes(0, trial.answer(0, 6, false, soakLine(standin.InService, 7)), true, told)
--- a/cmd/otterstep/soak_written_test.go
+++ b/cmd/otterstep/soak_written_test.go
@@ -41,7 +41,7 @@
 		began: at, present: present, movedAt: at,
 		words: map[string][]soakWord{}, links: map[int]soakLinkState{}, knownBegan: map[string]int64{},
 	}
-	for _, line := range known.Targets {
+	for _, line := range known.Entries {
 		w.knownBegan[line.UID] = line.BootMs
 	}
 	return w
@@ -58,7 +58,7 @@
 	if w.links == nil {
 		return // no process yet
 	}
-	w.links[address.number] = soakLinkState{faulty: fault != standin.LinkWhole, since: at}
+	w.links[address.number] = soakLinkState{faulty: fault != standin.LinkHealthy, since: at}
 	w.doubt(func(word soakWord) bool {
 		return word.source.address == address.number && !word.at.Before(at.Add(-writtenUnsure))
 	})
@@ -83,20 +83,20 @@
 
 // concerns tells whether an answer is to a call of this process.
 func (w *soakWritten) concerns(answer *standin.Answer) bool {
-	return w.words != nil && !answer.Called.Before(w.began)
+	return w.words != nil && !answer.CalledAt.Before(w.began)
 }
 
 // arrives tells whether what is written to an answer is sure to reach the process.
 func (w *soakWritten) arrives(address *soakAddress, answer *standin.Answer) bool {
 	link := w.links[address.number]
-	return address == w.present && !link.faulty && answer.Began.After(link.since)
+	return address == w.present && !link.faulty && answer.FirstByteAt.After(link.since)
 }
 
 // completing takes in what a message puts into service, before its end is written: it counts when the
 // message is whole.
 func (w *soakWritten) completing(address *soakAddress, answer *standin.Answer, at time.Time) {
 	w.confirmed = true
-	for _, line := range answer.List.Targets {
+	for _, line := range answer.List.Entries {
 		if !leaves(line) {
 			w.say(line.UID, w.word(address, answer, line.BootMs, false, at))
 		}
@@ -105,17 +105,17 @@
 
 // wrote takes in what lines that were written take out of service; those of a whole list also what they do
 // not name.
-func (w *soakWritten) wrote(address *soakAddress, answer *standin.Answer, lines []standin.Line, whole bool, at time.Time) {
+func (w *soakWritten) wrote(address *soakAddress, answer *standin.Answer, lines []standin.Entry, whole bool, at time.Time) {
 	for _, line := range lines {
 		if leaves(line) {
 			w.say(line.UID, w.word(address, answer, line.BootMs, true, at))
 		}
 	}
-	if !whole || !answer.List.All {
+	if !whole || !answer.List.IsWhole {
 		return
 	}
 	named := map[string]bool{}
-	for _, line := range answer.List.Targets {
+	for _, line := range answer.List.Entries {
 		named[line.UID] = true
 	}
 	for i := range soakServers {
@@ -128,8 +128,8 @@
 // word is what an answer says of a server.
 func (w *soakWritten) word(address *soakAddress, answer *standin.Answer, bootMs int64, out bool, at time.Time) soakWord {
 	return soakWord{
-		at: at, source: soakSource{address: address.number, counter: answer.Counter}, call: answer.Number,
-		version: answer.List.Rev, bootMs: bootMs, out: out, unsure: !w.arrives(address, answer),
+		at: at, source: soakSource{address: address.number, counter: answer.VersionRestarts}, call: answer.CallNumber,
+		version: answer.List.Version, bootMs: bootMs, out: out, unsure: !w.arrives(address, answer),
 	}
 }
 
@@ -207,7 +207,7 @@
 }
 
 // Wrote implements standin.AnswerObserver.
-func (o *soakObserver) Wrote(answer *standin.Answer, lines []standin.Line, whole bool) {
+func (o *soakObserver) EntriesWritten(answer *standin.Answer, lines []standin.Entry, whole bool) {
 	o.w.mu.Lock()
 	defer o.w.mu.Unlock()
 	if o.w.written.concerns(answer) {
@@ -220,6 +220,6 @@
 	o.w.mu.Lock()
 	defer o.w.mu.Unlock()
 	if o.w.written.concerns(answer) {
-		o.w.written.abandoned(o.address.number, answer.Number, time.Now())
+		o.w.written.abandoned(o.address.number, answer.CallNumber, time.Now())
 	}
 }
--- a/cmd/otterstep/told_test.go
+++ b/cmd/otterstep/told_test.go
@@ -56,17 +56,17 @@
 	}},
 	{name: "watches are answered with the whole list of before, calls for it with the present one", play: func(r *toldRun) {
 		r.drainTaken()
-		r.source.SetFault(standin.ByKind(standin.EarlierList(1), nil))
+		r.source.SetFault(standin.ByCallKind(standin.EarlierList(1), nil))
 		r.touchOften()
 	}},
 	{name: "calls for the whole list are answered with that of before, watches are refused", play: func(r *toldRun) {
 		r.drainTaken()
-		r.source.SetFault(standin.ByKind(standin.UnknownVersion, standin.EarlierList(1)))
+		r.source.SetFault(standin.ByCallKind(standin.UnknownVersion, standin.EarlierList(1)))
 	}},
 	{name: "calls reach a replica that stands still", whole: true, play: func(r *toldRun) {
-		frozen := r.replica(standin.Frozen)
+		frozen := r.replica(standin.NeverCatchesUp)
 		r.drainTaken()
-		r.source.SetFault(standin.From(frozen))
+		r.source.SetFault(standin.AnsweredBy(frozen))
 	}},
 	{name: "every answer is the whole list of before", play: func(r *toldRun) {
 		r.drainTaken()
@@ -140,15 +140,15 @@
 		r.drain()
 	}},
 	{name: "the lines come at once, the rest of the answer 5 s later", play: func(r *toldRun) {
-		r.source.SetFault(standin.LateBehindLines(toldLeave, 5*time.Second))
+		r.source.SetFault(standin.DelayAfterEntries(toldLeave, 5*time.Second))
 		r.drain()
 	}},
 	{name: "the lines come at once, the answer is cut off behind them", play: func(r *toldRun) {
-		r.source.SetFault(standin.CutBehindLines(toldLeave))
+		r.source.SetFault(standin.ResetAfterEntries(toldLeave))
 		r.drain()
 	}},
 	{name: "the lines come at once, the others one by one", play: func(r *toldRun) {
-		r.source.SetFault(standin.LineByLine(toldLeave, 1500*time.Millisecond))
+		r.source.SetFault(standin.EntryByEntry(toldLeave, 1500*time.Millisecond))
 		r.drain()
 	}},
 	{name: "the version comes behind the lines", play: func(r *toldRun) {
@@ -156,7 +156,7 @@
 		r.drain()
 	}},
 	{name: "the version comes behind the lines, 5 s later", play: func(r *toldRun) {
-		r.source.SetFault(standin.VersionLast(standin.LateBehindLines(toldLeave, 5*time.Second)))
+		r.source.SetFault(standin.VersionLast(standin.DelayAfterEntries(toldLeave, 5*time.Second)))
 		r.drain()
 	}},
 	{name: "a whole list leaves the servers out, then an earlier one names them", play: func(r *toldRun) {
@@ -224,7 +224,7 @@
 }
 
 // leavers gives the lines of the servers that leave, all at one address.
-func (r *toldRun) leavers(state string, bootMs int64) (all []standin.Line) {
+func (r *toldRun) leavers(state string, bootMs int64) (all []standin.Entry) {
 	for i := range toldLeave {
 		leaver := line(fmt.Sprint("leaves-", i), r.leaves, state)
 		leaver.BootMs = bootMs
@@ -234,7 +234,7 @@
 }
 
 // lines gives all lines, those of the servers that leave ahead of the others, as the service sorts them.
-func (r *toldRun) lines(state string, bootMs int64) []standin.Line {
+func (r *toldRun) lines(state string, bootMs int64) []standin.Entry {
 	all := r.leavers(state, bootMs)
 	for i := range toldStay {
 		all = append(all, line(fmt.Sprint("stays-", i), r.stays, standin.InService))
@@ -252,7 +252,7 @@
 	r.t.Cleanup(r.source.Close)
 	r.current = r.source
 	r.config = configFile(r.t, func(c map[string]any) {
-		c["listen"], c["discovery"], c["known"] = r.addr, r.source.Addr(), r.source.Known()
+		c["listen"], c["discovery"], c["known"] = r.addr, r.source.Addr(), r.source.KnownList()
 		c["settings"] = map[string]any{
 			"Balancers": 8, "Me": 3, "RegistryMode": r.mode, "Zones": []string{"a"},
 			"Classes":  []any{map[string]any{"Name": "read", "DeadlineMs": 3000, "PromiseMs": 1000, "Effect": "pure"}},
@@ -336,12 +336,12 @@
 
 // awaitWatch waits until the node asks a service for what is newer than a version.
 func (r *toldRun) awaitWatch(d *standin.Discovery, rev int64) {
-	r.await(fmt.Sprintf("a watch behind version %d", rev), func() bool { return d.Watched() >= rev })
+	r.await(fmt.Sprintf("a watch behind version %d", rev), func() bool { return d.WatchedVersion() >= rev })
 }
 
 // replica starts a service that lags behind the first one.
 func (r *toldRun) replica(lag time.Duration) *standin.Discovery {
-	d := standin.NewReplica(r.source, lag)
+	d := standin.NewDiscoveryReplica(r.source, lag)
 	r.t.Cleanup(d.Close)
 	return d
 }
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -35,7 +35,7 @@
 			return err
 		}
 		h.reply.Reset()
-		if err := h.batch(batch); err != nil {
+		if err := h.runBatch(batch); err != nil {
 			return err
 		}
 		if err := h.reply.WriteTo(writer, batch.Number); err != nil {
@@ -46,73 +46,73 @@
 
 // host holds the instances; they share nothing but the reply's buffer.
 type host struct {
-	instances map[uint16]*policy.Balancer
-	current   uint16
-	named     bool
-	reply     wire.Reply
-	event     wire.Event
+	instances       map[uint16]*policy.Balancer
+	currentInstance uint16
+	hasInstance     bool
+	reply           wire.Reply
+	event           wire.Event
 }
 
-func (h *host) batch(b *wire.Batch) error {
-	h.named = false
-	for i := range b.Count {
-		if err := b.Event(i, &h.event); err != nil {
+func (h *host) runBatch(batch *wire.Batch) error {
+	h.hasInstance = false
+	for i := range batch.Count {
+		if err := batch.DecodeEvent(i, &h.event); err != nil {
 			return err
 		}
 		e := &h.event
-		if e.Code == wire.Instance {
-			h.current, h.named = e.Instance, true
-			h.reply.For(e.Instance)
+		if e.Code == wire.EventInstance {
+			h.currentInstance, h.hasInstance = e.Instance, true
+			h.reply.SetInstance(e.Instance)
 			continue
 		}
-		if !h.named || (e.Code != wire.Open && h.instances[h.current] == nil) {
+		if !h.hasInstance || (e.Code != wire.EventOpen && h.instances[h.currentInstance] == nil) {
 			return fmt.Errorf("%w: batch %d, record %d: event %d for an instance never opened",
-				wire.ErrFormat, b.Number, i, e.Code)
+				wire.ErrFormat, batch.Number, i, e.Code)
 		}
-		h.handle(b, e)
+		h.dispatchEvent(batch, e)
 	}
 	return nil
 }
 
 // handle passes one event on. A panic in the module is reported as fatal.
-func (h *host) handle(b *wire.Batch, e *wire.Event) {
+func (h *host) dispatchEvent(batch *wire.Batch, e *wire.Event) {
 	defer func() {
-		if p := recover(); p != nil {
-			fmt.Fprintf(os.Stderr, "wirehost: batch %d: panic: %v\n%s", b.Number, p, debug.Stack())
-			h.reply.Fatal(fmt.Sprintf("panic: %v", p))
+		if panicValue := recover(); panicValue != nil {
+			fmt.Fprintf(os.Stderr, "wirehost: batch %d: panic: %v\n%s", batch.Number, panicValue, debug.Stack())
+			h.reply.Fatal(fmt.Sprintf("panic: %v", panicValue))
 		}
 	}()
-	inst := h.instances[h.current]
+	balancer := h.instances[h.currentInstance]
 	switch e.Code {
-	case wire.Open:
-		h.open(e)
-	case wire.Stop:
-		delete(h.instances, h.current)
-	case wire.Members:
-		inst.ListUpdated(b.Now, e.Kind, e.Entries)
-	case wire.Request:
-		inst.RequestArrived(b.Now, e.Request)
-	case wire.Started:
-		inst.StreamStarted(b.Now, e.Outcome.ID, e.Outcome.Attempt)
-	case wire.Outcome:
-		inst.AttemptEnded(b.Now, e.Outcome)
-	case wire.Left:
-		inst.ClientDisconnected(b.Now, e.Outcome.ID)
-	case wire.Timer:
-		inst.TimerFired(b.Now, e.Token)
+	case wire.EventOpen:
+		h.openInstance(e)
+	case wire.EventStop:
+		delete(h.instances, h.currentInstance)
+	case wire.EventListUpdated:
+		balancer.ListUpdated(batch.Now, e.ListKind, e.Entries)
+	case wire.EventRequestArrived:
+		balancer.RequestArrived(batch.Now, e.Request)
+	case wire.EventStreamStarted:
+		balancer.StreamStarted(batch.Now, e.Outcome.ID, e.Outcome.Attempt)
+	case wire.EventAttemptEnded:
+		balancer.AttemptEnded(batch.Now, e.Outcome)
+	case wire.EventClientDisconnected:
+		balancer.ClientDisconnected(batch.Now, e.Outcome.ID)
+	case wire.EventTimerFired:
+		balancer.TimerFired(batch.Now, e.TimerToken)
 	}
 }
 
-func (h *host) open(e *wire.Event) {
+func (h *host) openInstance(e *wire.Event) {
 	settings, err := wire.ParseSettings(e.Settings)
 	if err != nil {
 		h.reply.Fatal(err.Error())
 		return
 	}
-	inst, err := policy.New(settings, e.Seed, &h.reply)
+	balancer, err := policy.New(settings, e.Seed, &h.reply)
 	if err != nil {
 		h.reply.Fatal(err.Error())
 		return
 	}
-	h.instances[h.current] = inst
+	h.instances[h.currentInstance] = balancer
 }
--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -12,10 +12,10 @@
 	"otterstep/policy"
 )
 
-const settings = `{"Classes": [{"DeadlineMs": 1000, "Effect": "pure"}], "Limits": {"MaxAttempts": 2}}`
+const testSettings = `{"Classes": [{"DeadlineMs": 1000, "Effect": "pure"}], "Limits": {"MaxAttempts": 2}}`
 
 // rec is an event record; its parts are written one after the other.
-func rec(parts ...any) []byte {
+func eventRecord(parts ...any) []byte {
 	var b bytes.Buffer
 	for _, p := range parts {
 		if err := binary.Write(&b, binary.BigEndian, p); err != nil {
@@ -25,7 +25,7 @@
 	return append(b.Bytes(), make([]byte, 48-b.Len())...)
 }
 
-func batch(tail string, records ...[]byte) []byte {
+func batchFrame(tail string, records ...[]byte) []byte {
 	var b bytes.Buffer
 	body := bytes.Join(records, nil)
 	for _, p := range []any{uint32(len(body) + len(tail)), math.Float64bits(5000),
@@ -37,12 +37,14 @@
 	return append(append(b.Bytes(), body...), tail...)
 }
 
-func instance(n uint16) []byte { return rec(uint8(11), n) }
+func instanceEvent(n uint16) []byte { return eventRecord(uint8(11), n) }
 
-func open(text string) []byte { return rec(uint8(1), uint64(1), uint32(0), uint32(len(text))) }
+func openEvent(text string) []byte {
+	return eventRecord(uint8(1), uint64(1), uint32(0), uint32(len(text)))
+}
 
 // codes lists the action codes of all replies.
-func codes(t *testing.T, out []byte) (all []byte) {
+func actionCodes(t *testing.T, out []byte) (all []byte) {
 	t.Helper()
 	for len(out) > 0 {
 		count, size := binary.BigEndian.Uint32(out), binary.BigEndian.Uint32(out[4:])
@@ -58,37 +60,37 @@
 	entry := "\x0a\x00\x00\x01\x1f\x90" +
 		"\x00\x00\x00\x00\x00\x00\x01\x3f\x80\x00\x00" + strings.Repeat("\x00", 8)
 	in := bytes.Join([][]byte{
-		batch(""),
-		batch(settings, instance(4), open(settings)),
-		batch(entry, instance(4), rec(uint8(2), uint8(2), uint64(1), uint32(0), uint32(1)),
-			rec(uint8(3), uint32(9), uint8(0), uint16(0), uint64(0), float64(800))),
+		batchFrame(""),
+		batchFrame(testSettings, instanceEvent(4), openEvent(testSettings)),
+		batchFrame(entry, instanceEvent(4), eventRecord(uint8(2), uint8(2), uint64(1), uint32(0), uint32(1)),
+			eventRecord(uint8(3), uint32(9), uint8(0), uint16(0), uint64(0), float64(800))),
 	}, nil)
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
-	if got := codes(t, out.Bytes()); !bytes.Equal(got, []byte{68, 66, 72}) {
+	if got := actionCodes(t, out.Bytes()); !bytes.Equal(got, []byte{68, 66, 72}) {
 		t.Fatalf("action codes %v, want context, call_out, notify_me", got)
 	}
 }
 
-func TestRunReportsImpossibleSettingsAsFatal(t *testing.T) {
+func TestRunReportsInvalidSettingsAsFatal(t *testing.T) {
 	text := `{"Classes": [{"DeadlineMs": -5, "Effect": "pure"}]}`
 	var out bytes.Buffer
-	if err := run(bytes.NewReader(batch(text, instance(4), open(text))), &out); err != nil {
+	if err := run(bytes.NewReader(batchFrame(text, instanceEvent(4), openEvent(text))), &out); err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Contains(out.Bytes(), []byte("Classes[0].Deadline")) ||
-		!bytes.Contains(codes(t, out.Bytes()), []byte{77}) {
+		!bytes.Contains(actionCodes(t, out.Bytes()), []byte{77}) {
 		t.Fatalf("reply %q names no field", out.Bytes())
 	}
 }
 
 func TestRunRejectsEventsForNoInstance(t *testing.T) {
 	for name, in := range map[string][]byte{
-		"never opened": batch("", instance(4), rec(uint8(7), uint64(0))),
-		"not named":    batch("", rec(uint8(7), uint64(0))),
-		"stopped":      batch(settings, instance(4), open(settings), rec(uint8(10)), rec(uint8(7), uint64(0))),
+		"never opened": batchFrame("", instanceEvent(4), eventRecord(uint8(7), uint64(0))),
+		"not named":    batchFrame("", eventRecord(uint8(7), uint64(0))),
+		"stopped":      batchFrame(testSettings, instanceEvent(4), openEvent(testSettings), eventRecord(uint8(10)), eventRecord(uint8(7), uint64(0))),
 	} {
 		var out bytes.Buffer
 		err := run(bytes.NewReader(in), &out)
@@ -100,15 +102,15 @@
 
 // Guards against a panic of the module that takes the whole host down silently.
 func TestPanicIsReportedAsFatal(t *testing.T) {
-	h := host{instances: map[uint16]*policy.Balancer{4: nil}, current: 4}
+	h := host{instances: map[uint16]*policy.Balancer{4: nil}, currentInstance: 4}
 	h.reply.Reset()
-	h.reply.For(4)
-	h.handle(&wire.Batch{Number: 7}, &wire.Event{Code: wire.Request})
+	h.reply.SetInstance(4)
+	h.dispatchEvent(&wire.Batch{Number: 7}, &wire.Event{Code: wire.EventRequestArrived})
 	var out bytes.Buffer
 	if err := h.reply.WriteTo(bufio.NewWriter(&out), 7); err != nil {
 		t.Fatal(err)
 	}
-	if got := codes(t, out.Bytes()); !bytes.Equal(got, []byte{68, 77}) ||
+	if got := actionCodes(t, out.Bytes()); !bytes.Equal(got, []byte{68, 77}) ||
 		!bytes.Contains(out.Bytes(), []byte("panic")) {
 		t.Fatalf("action codes %v, want a context and fatal", got)
 	}
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -278,7 +278,7 @@
 func startFront(t *testing.T, s *fakeServer, state func(*clientConns, net.Conn, http.ConnState)) (l *loop, addr string) {
 	t.Helper()
 	site := parseTestSite(t, testSettings)
-	l, err := newLoop(site.Settings, 1, newClock(), newUpstream(time.Hour, testTimeout, 8), newCallQueue())
+	l, err := newLoop(site.Policy, 1, newClock(), newUpstream(time.Hour, testTimeout, 8), newCallQueue())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -463,8 +463,8 @@
 // Guards the memory limit: bodies are bounded together, by their declared lengths
 // and before any of it is read.
 func TestLargeBodiesShareAByteBudget(t *testing.T) {
-	f := newFront(&loop{clock: newClock()}, wire.Site{Classes: []string{"book"}}, newClientConns(8), 10<<10, func() bool { return true })
-	f.site.Settings.Classes = parseTestSite(t, testSettings).Settings.Classes[2:]
+	f := newFront(&loop{clock: newClock()}, wire.NodeSettings{ClassNames: []string{"book"}}, newClientConns(8), 10<<10, func() bool { return true })
+	f.site.Policy.Classes = parseTestSite(t, testSettings).Policy.Classes[2:]
 	ask := func() (code int, read int64) {
 		body := &countingReader{}
 		r := newClientRequest(t, "api", "book", "2.5")
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -20,7 +20,7 @@
 	MemoryMB  int
 	Sockets   int
 	KnownList listMessage
-	Site      wire.Site
+	Site      wire.NodeSettings
 }
 
 // LoadConfig reads and checks the configuration file.
@@ -62,10 +62,10 @@
 	if len(file.Settings) == 0 {
 		return invalid("settings", errors.New("none given"))
 	}
-	if config.Site, err = wire.ParseSite(file.Settings); err != nil {
+	if config.Site, err = wire.ParseNodeSettings(file.Settings); err != nil {
 		return invalid("settings", err)
 	}
-	if err := config.Site.Settings.Validate(); err != nil {
+	if err := config.Site.Policy.Validate(); err != nil {
 		return invalid("settings", err)
 	}
 	return config, nil
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -123,9 +123,9 @@
 	return r.err == nil && r.list.isWhole && (!r.isPartial || r.allEntriesRead)
 }
 
-func newDiscoveryClient(addr string, site wire.Site, c clock, log *slog.Logger) *discoveryClient {
+func newDiscoveryClient(addr string, site wire.NodeSettings, c clock, log *slog.Logger) *discoveryClient {
 	return &discoveryClient{
-		addr: addr, source: sourceID(addr), gate: newSendGate(), zones: site.Zones, clock: c, responseTimeout: callResponseTimeout, callLog: &callLog{logger: log, partialListLines: new(atomic.Int64)},
+		addr: addr, source: sourceID(addr), gate: newSendGate(), zones: site.ZoneNames, clock: c, responseTimeout: callResponseTimeout, callLog: &callLog{logger: log, partialListLines: new(atomic.Int64)},
 		client: http.Client{
 			Transport: &http.Transport{
 				DialContext: tcpDialer(callConnectTimeout).dialContext, MaxIdleConnsPerHost: 1, IdleConnTimeout: callIdleTimeout,
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -19,7 +19,7 @@
 // loop's answers into responses.
 type front struct {
 	loop        *loop
-	site        wire.Site
+	site        wire.NodeSettings
 	clients     *clientConns
 	isReady     func() bool
 	classIndex  map[string]int
@@ -47,15 +47,15 @@
 
 func (b *byteBudget) release(n int64) { b.used.Add(-n) }
 
-func newFront(l *loop, site wire.Site, clients *clientConns, bodyBudgetBytes int64, isReady func() bool) *front {
+func newFront(l *loop, site wire.NodeSettings, clients *clientConns, bodyBudgetBytes int64, isReady func() bool) *front {
 	f := &front{
 		loop: l, site: site, clients: clients, isReady: isReady, bodyBudget: byteBudget{limit: bodyBudgetBytes},
 		classIndex: map[string]int{}, tenantIndex: map[string]int{},
 	}
-	for i, name := range site.Classes {
+	for i, name := range site.ClassNames {
 		f.classIndex[name] = i
 	}
-	for i, name := range site.Tenants {
+	for i, name := range site.TenantNames {
 		f.tenantIndex[name] = i
 	}
 	return f
@@ -98,7 +98,7 @@
 	}
 	if err == nil && overLimit { // nothing was sent for it, so that the promise of a refusal holds
 		w.Header().Set("Connection", "close")
-		writeAnswer(w, finalAnswer{kind: answerRefused, retryAfter: f.site.Settings.Limits.MaxRetryAfter})
+		writeAnswer(w, finalAnswer{kind: answerRefused, retryAfter: f.site.Policy.Limits.MaxRetryAfter})
 		return
 	}
 	if err == nil {
@@ -219,7 +219,7 @@
 			return policyRequest, nil, err
 		}
 	}
-	classSettings := f.site.Settings.Classes[policyRequest.Class]
+	classSettings := f.site.Policy.Classes[policyRequest.Class]
 	switch method := r.Method; {
 	case classSettings.Idempotency == policy.Idempotent && method != http.MethodGet,
 		classSettings.Idempotency != policy.Idempotent && method != http.MethodPost:
--- a/internal/node/gate_test.go
+++ b/internal/node/gate_test.go
@@ -94,7 +94,7 @@
 	l := newTestLoop(t)
 	l.metrics.drainViolations.Add(3)
 	scrape := func(classes ...string) string {
-		f := newFront(l, wire.Site{Classes: classes}, newClientConns(8), 0, func() bool { return true })
+		f := newFront(l, wire.NodeSettings{ClassNames: classes}, newClientConns(8), 0, func() bool { return true })
 		w := httptest.NewRecorder()
 		f.ServeHTTP(w, httptest.NewRequest(http.MethodGet, metricsPath, nil))
 		return w.Body.String()
--- a/internal/node/hollow_fleet_test.go
+++ b/internal/node/hollow_fleet_test.go
@@ -28,9 +28,9 @@
 const fleetZones = 24
 
 // fleetSite gives the settings of a fleet.
-func fleetSite(tb testing.TB, nodes int, maxCallInterval time.Duration) wire.Site {
+func fleetSite(tb testing.TB, nodes int, maxCallInterval time.Duration) wire.NodeSettings {
 	tb.Helper()
-	site, err := wire.ParseSite(fmt.Appendf(nil, fleetSettings, nodes, maxCallInterval.Milliseconds()))
+	site, err := wire.ParseNodeSettings(fmt.Appendf(nil, fleetSettings, nodes, maxCallInterval.Milliseconds()))
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -87,14 +87,14 @@
 
 // startHollowNode starts the node of a number in its fleet; it knows a list, or none. heard is
 // called with the version of the list that is in place.
-func startHeadlessNode(tb testing.TB, site wire.Site, addr string, number int, known listMessage, calls *callCounts, onVersion func(rev int64)) *headlessNode {
+func startHeadlessNode(tb testing.TB, site wire.NodeSettings, addr string, number int, known listMessage, calls *callCounts, onVersion func(rev int64)) *headlessNode {
 	tb.Helper()
 	c, log := newClock(), slog.New(slog.DiscardHandler)
-	upstream := newUpstream(site.ConnIdle, site.ConnectTimeout, 0)
+	upstream := newUpstream(site.ConnIdleTimeout, site.ConnectTimeout, 0)
 	client := newDiscoveryClient(addr, site, c, log)
 	client.client.Transport = countingTransport{&http.Transport{MaxIdleConnsPerHost: 1}, calls}
-	site.Settings.NodeIndex, site.Settings.LongPolling = number, true
-	l, err := newLoop(site.Settings, uint64(number), c, upstream, client.commands)
+	site.Policy.NodeIndex, site.Policy.LongPolling = number, true
+	l, err := newLoop(site.Policy, uint64(number), c, upstream, client.commands)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -119,7 +119,7 @@
 	var running sync.WaitGroup
 	running.Go(func() { l.run(ctx) })
 	running.Go(func() {
-		client.start(known, site.Settings.ListOnRequest)
+		client.start(known, site.Policy.ListOnRequest)
 		client.run(ctx)
 	})
 	return &headlessNode{loop: l, calls: calls, stop: func() { cancel(); running.Wait() }}
@@ -141,7 +141,7 @@
 // hollowFleet is many hollow nodes in this process, before one discovery.
 type headlessFleet struct {
 	tb          testing.TB
-	site        wire.Site
+	site        wire.NodeSettings
 	service     *discoveryService
 	propagation *propagation
 	nodes       []*headlessNode
--- a/internal/node/list_cost_test.go
+++ b/internal/node/list_cost_test.go
@@ -40,7 +40,7 @@
 			service := httptest.NewServer(&handler)
 			t.Cleanup(func() { service.CloseClientConnections(); service.Close() })
 			site := parseTestSite(t, testSettings)
-			settings := site.Settings
+			settings := site.Policy
 			settings.LongPolling, settings.ListOnRequest = true, onRequest
 			c := newClock()
 			client := newDiscoveryClient(service.Listener.Addr().String(), site, c, slog.New(slog.DiscardHandler))
--- a/internal/node/list_scale_test.go
+++ b/internal/node/list_scale_test.go
@@ -22,7 +22,7 @@
 	site := fleetSite(tb, max(1, servers*targetNodes/targetServers), siteMaxCallInterval)
 	c := newClock()
 	client := newDiscoveryClient("", site, c, slog.New(slog.DiscardHandler))
-	l, err := newLoop(site.Settings, 1, c, newUpstream(site.ConnIdle, site.ConnectTimeout, 0), client.commands)
+	l, err := newLoop(site.Policy, 1, c, newUpstream(site.ConnIdleTimeout, site.ConnectTimeout, 0), client.commands)
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/internal/node/members_test.go
+++ b/internal/node/members_test.go
@@ -13,7 +13,7 @@
 // testLoop is a loop that nobody runs: the test calls it.
 func newTestLoop(t testing.TB) *loop {
 	t.Helper()
-	l, err := newLoop(parseTestSite(t, testSettings).Settings, 1, newClock(), newUpstream(time.Hour, testTimeout, 8), newCallQueue())
+	l, err := newLoop(parseTestSite(t, testSettings).Policy, 1, newClock(), newUpstream(time.Hour, testTimeout, 8), newCallQueue())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -82,13 +82,13 @@
 func serve(ctx context.Context, config Config, listener net.Listener, reloader ConfigReloader, log *slog.Logger) error {
 	defer listener.Close()
 	clock := newClock()
-	settings := config.Site.Settings
+	settings := config.Site.Policy
 	settings.ConfirmCachedList, settings.LongPolling = true, true
 	// A request in work takes a descriptor at each side and a second copy one more at
 	// the servers'; clients also have idle connections, and some that say nothing.
 	servers := (config.Sockets - reservedSockets) * 9 / 20
 	clients := newClientConns(config.Sockets - reservedSockets - servers)
-	upstream := newUpstream(config.Site.ConnIdle, config.Site.ConnectTimeout, servers)
+	upstream := newUpstream(config.Site.ConnIdleTimeout, config.Site.ConnectTimeout, servers)
 	discovery := newDiscoveryClient(config.Discovery, config.Site, clock, log)
 	loop, err := newLoop(settings, config.Seed, clock, upstream, discovery.commands)
 	if err != nil {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -129,9 +129,9 @@
 	return listEntry{UID: uid, Endpoint: s.addr, AZ: "a", State: "in_service", CapacityHint: 1}
 }
 
-func parseTestSite(t testing.TB, text string) wire.Site {
+func parseTestSite(t testing.TB, text string) wire.NodeSettings {
 	t.Helper()
-	site, err := wire.ParseSite([]byte(text))
+	site, err := wire.ParseNodeSettings([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -633,7 +633,7 @@
 		c.Read(make([]byte, 1)) // silent until the node gives up
 		return false
 	})
-	l, err := newLoop(parseTestSite(t, testSettings).Settings, 1, newClock(), newTestUpstream(t, 8), newCallQueue())
+	l, err := newLoop(parseTestSite(t, testSettings).Policy, 1, newClock(), newTestUpstream(t, 8), newCallQueue())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -676,7 +676,7 @@
 		return false
 	})
 	site := parseTestSite(t, strings.ReplaceAll(testSettings, `"DeadlineMs": 3000`, `"DeadlineMs": 60000`))
-	l, err := newLoop(site.Settings, 1, newClock(), newTestUpstream(t, 8), newCallQueue())
+	l, err := newLoop(site.Policy, 1, newClock(), newTestUpstream(t, 8), newCallQueue())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -717,7 +717,7 @@
 func submitWithLateConnection(t *testing.T, class int, change func(*policy.Settings)) (l *loop, r *request, startServer func(string) *fakeServer, done chan finalAnswer) {
 	t.Helper()
 	addr, startServer := listenWithFullBacklog(t)
-	settings := parseTestSite(t, testSettings).Settings
+	settings := parseTestSite(t, testSettings).Policy
 	change(&settings)
 	l, err := newLoop(settings, 1, newClock(), newUpstream(time.Hour, testTimeout, 8), newCallQueue())
 	if err != nil {
@@ -790,7 +790,7 @@
 		"a late first attempt": {lateAcceptingServer, acceptingServer(hangs), 0, phaseUnsent},
 	} {
 		t.Run(name, func(t *testing.T) {
-			settings := parseTestSite(t, testSettings).Settings
+			settings := parseTestSite(t, testSettings).Policy
 			settings.Limits.AllowHedging = testCase.lateIndex == 0
 			settings.Classes = settings.Classes[1:2]
 			class := &settings.Classes[0]
@@ -984,7 +984,7 @@
 // Guards against clients that go on using a draining node's connections until
 // they are cut: answers close them from SIGTERM on.
 func TestDrainingFrontClosesConnectionsAfterAnswers(t *testing.T) {
-	front := newFront(&loop{clock: newClock()}, wire.Site{}, newClientConns(8), 0, func() bool { return true })
+	front := newFront(&loop{clock: newClock()}, wire.NodeSettings{}, newClientConns(8), 0, func() bool { return true })
 	for _, draining := range []bool{false, true} {
 		front.draining.Store(draining)
 		w := httptest.NewRecorder()
--- a/internal/node/tenants_scale_test.go
+++ b/internal/node/tenants_scale_test.go
@@ -29,11 +29,11 @@
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
 			text := tenantSettings(tenants)
 			start := func() *front {
-				site, err := wire.ParseSite(text)
+				site, err := wire.ParseNodeSettings(text)
 				if err != nil {
 					b.Fatal(err)
 				}
-				l, err := newLoop(site.Settings, 1, newClock(), newUpstream(site.ConnIdle, site.ConnectTimeout, 0), newCallQueue())
+				l, err := newLoop(site.Policy, 1, newClock(), newUpstream(site.ConnIdleTimeout, site.ConnectTimeout, 0), newCallQueue())
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/permutation/permutation_test.go
+++ b/internal/permutation/permutation_test.go
@@ -8,35 +8,35 @@
 		for seed := range uint64(20) {
 			seen := make([]bool, n)
 			for i := range n {
-				p := Position(seed, i, n)
-				if p >= n || seen[p] {
-					t.Fatalf("n %d, seed %d: place %d of %d is outside or taken", n, seed, p, i)
+				position := Position(seed, i, n)
+				if position >= n || seen[position] {
+					t.Fatalf("n %d, seed %d: place %d of %d is outside or taken", n, seed, position, i)
 				}
-				seen[p] = true
+				seen[position] = true
 			}
 		}
 	}
 }
 
 // A number is as often among the first as any other, and seeds are independent of one another.
-func TestFirstPlacesAreEven(t *testing.T) {
-	const n, first, seeds = 300, 30, 20000
-	together := 0
+func TestFirstPositionsAreUniform(t *testing.T) {
+	const n, firstPositions, seeds = 300, 30, 20000
+	inBothOrders := 0
 	for i := range uint32(n) {
 		count := 0
 		for seed := range uint64(seeds) {
-			if Position(seed, i, n) < first {
+			if Position(seed, i, n) < firstPositions {
 				count++
-				if Position(seed+1, i, n) < first {
-					together++
+				if Position(seed+1, i, n) < firstPositions {
+					inBothOrders++
 				}
 			}
 		}
-		if want := seeds * first / n; count < want*9/10 || count > want*11/10 {
-			t.Errorf("%d is among the first %d of %d for %d of %d seeds, want about %d", i, first, n, count, seeds, want)
+		if want := seeds * firstPositions / n; count < want*9/10 || count > want*11/10 {
+			t.Errorf("%d is among the first %d of %d for %d of %d seeds, want about %d", i, firstPositions, n, count, seeds, want)
 		}
 	}
-	if want := seeds * first * first / n; together < want*9/10 || together > want*11/10 {
-		t.Errorf("%d pairs of neighbouring seeds agree, want about %d", together, want)
+	if want := seeds * firstPositions * firstPositions / n; inBothOrders < want*9/10 || inBothOrders > want*11/10 {
+		t.Errorf("%d pairs of neighbouring seeds agree, want about %d", inBothOrders, want)
 	}
 }
--- a/internal/standin/answer.go
+++ b/internal/standin/answer.go
@@ -11,11 +11,11 @@
 
 // Answer is what a replica has to say to one call.
 type Answer struct {
-	Number  int       // of the call
-	Called  time.Time // when the call came
-	Began   time.Time // when the first byte of its answer was written
-	Counter int       // how often the replica's versions had started anew
-	List    List
+	CallNumber      int       // of the call
+	CalledAt        time.Time // when the call came
+	FirstByteAt     time.Time // when the first byte of its answer was written
+	VersionRestarts int       // how often the replica's versions had started anew
+	List            List
 }
 
 // AnswerObserver is told what a replica writes to its callers.
@@ -23,7 +23,7 @@
 	// Completing tells that the end of a message is about to be written.
 	Completing(answer *Answer)
 	// Wrote tells of lines whose last byte has been written and flushed, and whether the message is whole.
-	Wrote(answer *Answer, lines []Line, whole bool)
+	EntriesWritten(answer *Answer, lines []Entry, whole bool)
 	// Abandoned tells that a caller left before its message was whole.
 	Abandoned(answer *Answer)
 }
@@ -31,13 +31,13 @@
 // observedWriter tells an observer what is written through it, whoever writes it and in what pieces.
 type observedWriter struct {
 	http.ResponseWriter
-	answer   *Answer
-	observer AnswerObserver
-	text     []byte // so far
-	reported int    // lines
-	ending   bool   // the end of the message was written
-	whole    bool   // and flushed
-	hijacked bool   // nothing goes through it any more
+	answer             *Answer
+	observer           AnswerObserver
+	written            []byte // so far
+	reportedEntries    int    // lines
+	completingReported bool   // the end of the message was written
+	completeReported   bool   // and flushed
+	hijacked           bool   // nothing goes through it any more
 }
 
 // Unwrap lets a http.ResponseController reach the connection.
@@ -51,12 +51,12 @@
 
 // Write implements io.Writer.
 func (w *observedWriter) Write(p []byte) (int, error) {
-	if w.answer.Began.IsZero() {
-		w.answer.Began = time.Now()
+	if w.answer.FirstByteAt.IsZero() {
+		w.answer.FirstByteAt = time.Now()
 	}
-	w.text = append(w.text, p...)
-	if _, whole := linesWithin(w.text); whole && !w.ending && w.observer != nil {
-		w.ending = true
+	w.written = append(w.written, p...)
+	if _, complete := parsePartialList(w.written); complete && !w.completingReported && w.observer != nil {
+		w.completingReported = true
 		w.observer.Completing(w.answer)
 	}
 	return w.ResponseWriter.Write(p)
@@ -67,36 +67,36 @@
 	if err := http.NewResponseController(w.ResponseWriter).Flush(); err != nil {
 		return err
 	}
-	w.report()
+	w.reportProgress()
 	return nil
 }
 
 // report tells of what is new.
-func (w *observedWriter) report() {
-	if w.observer == nil || w.whole {
+func (w *observedWriter) reportProgress() {
+	if w.observer == nil || w.completeReported {
 		return
 	}
-	lines, whole := linesWithin(w.text)
-	if len(lines) == w.reported && !whole {
+	entries, complete := parsePartialList(w.written)
+	if len(entries) == w.reportedEntries && !complete {
 		return
 	}
-	w.observer.Wrote(w.answer, lines[w.reported:], whole)
-	w.reported, w.whole = len(lines), whole
+	w.observer.EntriesWritten(w.answer, entries[w.reportedEntries:], complete)
+	w.reportedEntries, w.completeReported = len(entries), complete
 }
 
 // end ends an answer that was not aborted.
-func (w *observedWriter) end(request *http.Request) {
-	left := request.Context().Err() != nil
-	if left && !w.whole && w.observer != nil {
+func (w *observedWriter) finish(request *http.Request) {
+	hasLeft := request.Context().Err() != nil
+	if hasLeft && !w.completeReported && w.observer != nil {
 		w.observer.Abandoned(w.answer)
 	}
-	if !left && !w.hijacked && len(w.text) > 0 {
+	if !hasLeft && !w.hijacked && len(w.written) > 0 {
 		w.FlushError()
 	}
 }
 
 // linesWithin gives the lines that are whole in the text of a message so far, and whether all of it is.
-func linesWithin(text []byte) (lines []Line, whole bool) {
+func parsePartialList(text []byte) (entries []Entry, complete bool) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	if opening, err := decoder.Token(); err != nil || opening != json.Delim('{') {
 		return nil, false
@@ -104,36 +104,36 @@
 	for decoder.More() {
 		name, err := decoder.Token()
 		if err != nil {
-			return lines, false
+			return entries, false
 		}
 		if name != "targets" {
 			var skipped json.RawMessage
 			if err := decoder.Decode(&skipped); err != nil {
-				return lines, false
+				return entries, false
 			}
 			continue
 		}
-		var done bool
-		if lines, done = targetsWithin(decoder); !done {
-			return lines, false
+		var arrayComplete bool
+		if entries, arrayComplete = parsePartialEntries(decoder); !arrayComplete {
+			return entries, false
 		}
 	}
 	closing, err := decoder.Token()
-	return lines, err == nil && closing == json.Delim('}')
+	return entries, err == nil && closing == json.Delim('}')
 }
 
 // targetsWithin reads an array of lines as far as it goes, and tells whether its end is there.
-func targetsWithin(decoder *json.Decoder) (lines []Line, done bool) {
+func parsePartialEntries(decoder *json.Decoder) (entries []Entry, complete bool) {
 	if opening, err := decoder.Token(); err != nil || opening != json.Delim('[') {
 		return nil, false
 	}
 	for decoder.More() {
-		var line Line
-		if err := decoder.Decode(&line); err != nil {
-			return lines, false
+		var entry Entry
+		if err := decoder.Decode(&entry); err != nil {
+			return entries, false
 		}
-		lines = append(lines, line)
+		entries = append(entries, entry)
 	}
 	closing, err := decoder.Token()
-	return lines, err == nil && closing == json.Delim(']')
+	return entries, err == nil && closing == json.Delim(']')
 }
--- a/internal/standin/answer_framing.go
+++ b/internal/standin/answer_framing.go
@@ -10,13 +10,13 @@
 )
 
 // Coding says how the end of a message is told.
-type Coding int
+type BodyDelimiter int
 
 // How the end of a message is told.
 const (
-	ByLength Coding = iota // by a Content-Length
-	ByChunks               // by a last chunk
-	ByClose                // by the end of the connection
+	ContentLength BodyDelimiter = iota // by a Content-Length
+	Chunked                            // by a last chunk
+	UntilClose                         // by the end of the connection
 )
 
 // Ending says what becomes of the end of a message, behind the closing brace of its text.
@@ -33,22 +33,22 @@
 // Framing is one of the forms in which an answer may be written. The zero value is a compact text in one
 // piece, with its length.
 type Framing struct {
-	Coding      Coding
-	Ending      Ending
-	EndDelay    time.Duration
-	Indented    bool
-	VersionLast bool          // the version comes behind the lines
-	Pieces      int           // in which the text is written; 0: one, or as many as there are lines
-	ByLine      bool          // a piece ends behind each line
-	Pause       time.Duration // behind each piece
-	RestAfter   time.Duration // the first line is a piece, and the rest another one, so much later; 0: they are not
-	CutAfter    int           // lines behind which the connection is reset; 0: it is not
+	Delimiter         BodyDelimiter
+	Ending            Ending
+	EndDelay          time.Duration
+	Indented          bool
+	VersionLast       bool          // the version comes behind the lines
+	Pieces            int           // in which the text is written; 0: one, or as many as there are lines
+	EntryPerPiece     bool          // a piece ends behind each line
+	Pause             time.Duration // behind each piece
+	RestDelay         time.Duration // the first line is a piece, and the rest another one, so much later; 0: they are not
+	ResetAfterEntries int           // lines behind which the connection is reset; 0: it is not
 }
 
 // Framed answers calls in some form.
 func Framed(framing Framing) Fault {
 	return func(c *Call) {
-		if text := c.text(); text != nil {
+		if text := c.answerText(); text != nil {
 			framing.write(c, text)
 		}
 	}
@@ -58,47 +58,47 @@
 func (f *Framing) write(c *Call, text []byte) {
 	var list List
 	if err := json.Unmarshal(text, &list); err != nil {
-		c.writeAsIs(text)
+		c.writeWithLength(text)
 		return
 	}
-	text, lineEnds := f.render(list)
-	f.head(c, len(text))
-	if f.CutAfter > 0 && f.CutAfter <= len(lineEnds) {
-		cut := lineEnds[f.CutAfter-1]
-		f.pieces(c, text[:cut], lineEnds[:f.CutAfter])
-		resetCaller(c)
+	text, entryEnds := f.encode(list)
+	f.writeHeaders(c, len(text))
+	if f.ResetAfterEntries > 0 && f.ResetAfterEntries <= len(entryEnds) {
+		end := entryEnds[f.ResetAfterEntries-1]
+		f.writePieces(c, text[:end], entryEnds[:f.ResetAfterEntries])
+		resetAfterDelivery(c)
 		return
 	}
-	if f.pieces(c, text, lineEnds) {
-		f.end(c)
+	if f.writePieces(c, text, entryEnds) {
+		f.applyEnding(c)
 	}
 }
 
 // tail is what comes late of a message with a length: white space behind the closing brace.
-const tail = "\n"
+const lateWhitespace = "\n"
 
 // head writes the headers.
-func (f *Framing) head(c *Call, length int) {
-	switch f.Coding {
-	case ByLength:
+func (f *Framing) writeHeaders(c *Call, length int) {
+	switch f.Delimiter {
+	case ContentLength:
 		if f.Ending == EndsLate || f.Ending == EndsNever {
-			length += len(tail)
+			length += len(lateWhitespace)
 		}
 		c.Writer.Header().Set("Content-Length", strconv.Itoa(length))
-	case ByClose:
+	case UntilClose:
 		c.Writer.Header().Set("Transfer-Encoding", "identity") // net/http closes behind it
 	}
 }
 
 // pieces writes a text piece by piece; false where the caller has left.
-func (f *Framing) pieces(c *Call, text []byte, lineEnds []int) bool {
+func (f *Framing) writePieces(c *Call, text []byte, entryEnds []int) bool {
 	ends := []int{len(text)}
-	pause := max(f.Pause, f.RestAfter)
+	pause := max(f.Pause, f.RestDelay)
 	switch {
-	case f.RestAfter > 0 && len(lineEnds) > 0:
-		ends = []int{lineEnds[0], len(text)}
-	case f.ByLine:
-		ends = append(append([]int{}, lineEnds...), len(text))
+	case f.RestDelay > 0 && len(entryEnds) > 0:
+		ends = []int{entryEnds[0], len(text)}
+	case f.EntryPerPiece:
+		ends = append(append([]int{}, entryEnds...), len(text))
 	case f.Pieces > 1:
 		ends = nil
 		for i := range f.Pieces {
@@ -118,55 +118,55 @@
 }
 
 // end does with the end of a message what is to become of it.
-func (f *Framing) end(c *Call) {
+func (f *Framing) applyEnding(c *Call) {
 	switch f.Ending {
 	case EndsAtOnce:
 		return
 	case EndsNever:
-		Silent(c)
+		NoAnswer(c)
 		return
 	case EndsByReset:
-		resetCaller(c)
+		resetAfterDelivery(c)
 		return
 	}
-	if c.pause(f.EndDelay) && f.Coding == ByLength {
-		c.Writer.Write([]byte(tail))
+	if c.pause(f.EndDelay) && f.Delimiter == ContentLength {
+		c.Writer.Write([]byte(lateWhitespace))
 	}
 }
 
 // resetCaller resets the connection of a call, once what was written has arrived.
-func resetCaller(c *Call) {
+func resetAfterDelivery(c *Call) {
 	c.pause(resetDelay)
-	c.reset()
+	c.resetConn()
 }
 
 // render gives the text of a list, and where each of its lines ends.
-func (f *Framing) render(list List) (text []byte, lineEnds []int) {
+func (f *Framing) encode(list List) (text []byte, entryEnds []int) {
 	var out bytes.Buffer
-	version := fmt.Sprintf(`"rev":%d,"all":%t`, list.Rev, list.All)
+	versionFields := fmt.Sprintf(`"rev":%d,"all":%t`, list.Version, list.IsWhole)
 	out.WriteString("{")
 	if !f.VersionLast {
-		out.WriteString(version + ",")
+		out.WriteString(versionFields + ",")
 	}
 	out.WriteString(`"targets":[`)
-	for i, line := range list.Targets {
+	for i, entry := range list.Entries {
 		if i > 0 {
 			out.WriteString(",")
 		}
-		out.Write(f.line(line))
-		lineEnds = append(lineEnds, out.Len())
+		out.Write(f.encodeEntry(entry))
+		entryEnds = append(entryEnds, out.Len())
 	}
 	out.WriteString("]")
 	if f.VersionLast {
-		out.WriteString("," + version)
+		out.WriteString("," + versionFields)
 	}
 	out.WriteString("}")
-	return out.Bytes(), lineEnds
+	return out.Bytes(), entryEnds
 }
 
 // line gives the text of one line.
-func (f *Framing) line(line Line) []byte {
-	text, err := json.Marshal(line)
+func (f *Framing) encodeEntry(entry Entry) []byte {
+	text, err := json.Marshal(entry)
 	if err != nil {
 		panic(err) // a weight that is no number
 	}
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -24,7 +24,7 @@
 )
 
 // Line is discovery's line for one server.
-type Line struct {
+type Entry struct {
 	UID          string  `json:"uid"`
 	Endpoint     string  `json:"endpoint"`
 	AZ           string  `json:"az"`
@@ -36,15 +36,15 @@
 
 // List is an answer of discovery: the whole list or the changes to it.
 type List struct {
-	Rev     int64  `json:"rev"`
-	All     bool   `json:"all"`
-	Targets []Line `json:"targets"`
+	Version int64   `json:"rev"`
+	IsWhole bool    `json:"all"`
+	Entries []Entry `json:"targets"`
 }
 
 // version is what one version of the list changed.
-type version struct {
-	rev   int64
-	lines []Line
+type listChange struct {
+	version int64
+	entries []Entry
 }
 
 // Discovery is a discovery service that speaks the published protocol: whole lists, and watches that wait
@@ -52,47 +52,47 @@
 type Discovery struct {
 	server *httptest.Server
 
-	mu      sync.Mutex
-	rev     int64
-	lines   map[string]Line
-	changed map[string]int64 // version of the latest change, by uid
-	news    chan struct{}    // closed and replaced at each change
-	fault   Fault            // nil: none
-	changes chan struct{}    // closed and replaced when the fault changes
-	calls   int
+	mu               sync.Mutex
+	version          int64
+	entries          map[string]Entry
+	changedAtVersion map[string]int64 // version of the latest change, by uid
+	changed          chan struct{}    // closed and replaced at each change
+	fault            Fault            // nil: none
+	faultChanged     chan struct{}    // closed and replaced when the fault changes
+	callCount        int
 
-	history  []version // all versions, oldest first
-	replicas []replica // services that take the changes over
-	watched  int64     // the latest version that a call asked for changes since
+	changeLog      []listChange       // all versions, oldest first
+	replicas       []discoveryReplica // services that take the changes over
+	watchedVersion int64              // the latest version that a call asked for changes since
 }
 
 // NewDiscovery starts a service on loopback whose first version, 1, has the given lines. Close ends it.
-func NewDiscovery(lines []Line) *Discovery {
-	d := newDiscovery(lines)
+func NewDiscovery(entries []Entry) *Discovery {
+	d := newDiscovery(entries)
 	d.server = httptest.NewServer(d)
 	return d
 }
 
 // NewDiscoveryAt is NewDiscovery at an address, as host:port.
-func NewDiscoveryAt(addr string, lines []Line) (*Discovery, error) {
-	l, err := net.Listen("tcp", addr)
+func NewDiscoveryAt(addr string, entries []Entry) (*Discovery, error) {
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	d := newDiscovery(lines)
+	d := newDiscovery(entries)
 	d.server = httptest.NewUnstartedServer(d)
 	d.server.Listener.Close()
-	d.server.Listener = l
+	d.server.Listener = listener
 	d.server.Start()
 	return d, nil
 }
 
-func newDiscovery(lines []Line) *Discovery {
+func newDiscovery(entries []Entry) *Discovery {
 	d := &Discovery{
-		rev: 1, lines: map[string]Line{}, changed: map[string]int64{},
-		news: make(chan struct{}), changes: make(chan struct{}),
+		version: 1, entries: map[string]Entry{}, changedAtVersion: map[string]int64{},
+		changed: make(chan struct{}), faultChanged: make(chan struct{}),
 	}
-	d.put(d.rev, lines)
+	d.addVersion(d.version, entries)
 	return d
 }
 
@@ -107,64 +107,64 @@
 }
 
 // Change puts lines in place as one new version and gives its number.
-func (d *Discovery) Change(lines ...Line) int64 {
+func (d *Discovery) Change(entries ...Entry) int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.put(d.rev+1, lines)
-	d.replicate(d.rev, lines)
-	return d.rev
+	d.addVersion(d.version+1, entries)
+	d.replicate(d.version, entries)
+	return d.version
 }
 
 // put puts lines in place as a version. The lock is held.
-func (d *Discovery) put(rev int64, lines []Line) {
-	d.rev = rev
-	for _, line := range lines {
-		d.lines[line.UID], d.changed[line.UID] = line, rev
+func (d *Discovery) addVersion(version int64, entries []Entry) {
+	d.version = version
+	for _, entry := range entries {
+		d.entries[entry.UID], d.changedAtVersion[entry.UID] = entry, version
 	}
-	d.history = append(d.history, version{rev: rev, lines: slices.Clone(lines)})
-	close(d.news)
-	d.news = make(chan struct{})
+	d.changeLog = append(d.changeLog, listChange{version: version, entries: slices.Clone(entries)})
+	close(d.changed)
+	d.changed = make(chan struct{})
 }
 
 // listOf gives the whole list as of a version.
-func (d *Discovery) listOf(rev int64) List {
+func (d *Discovery) listAtVersion(version int64) List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	earlier := newDiscovery(nil)
-	for _, v := range d.history {
-		if v.rev <= rev {
-			earlier.put(v.rev, v.lines)
+	for _, change := range d.changeLog {
+		if change.version <= version {
+			earlier.addVersion(change.version, change.entries)
 		}
 	}
-	return earlier.since(0)
+	return earlier.listSince(0)
 }
 
 // Watched is the latest version that a call asked for changes since: its caller has taken that version.
-func (d *Discovery) Watched() int64 {
+func (d *Discovery) WatchedVersion() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.watched
+	return d.watchedVersion
 }
 
 // Line gives the present line of a server.
-func (d *Discovery) Line(uid string) Line {
+func (d *Discovery) Entry(uid string) Entry {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.lines[uid]
+	return d.entries[uid]
 }
 
 // Known gives the whole list, as a configuration may hold it.
-func (d *Discovery) Known() List {
+func (d *Discovery) KnownList() List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.since(0)
+	return d.listSince(0)
 }
 
 // Calls is the number of calls that came so far.
-func (d *Discovery) Calls() int {
+func (d *Discovery) CallCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.calls
+	return d.callCount
 }
 
 // SetFault sets what happens to calls that come from now on; nil: they are answered. Faults that wait for
@@ -173,22 +173,22 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.fault = fault
-	close(d.changes)
-	d.changes = make(chan struct{})
+	close(d.faultChanged)
+	d.faultChanged = make(chan struct{})
 }
 
 // ServeHTTP implements http.Handler. A fault strikes open watches as well as the calls that come after it.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
-	d.calls++
+	d.callCount++
 	d.mu.Unlock()
-	call := &Call{Writer: w, Request: r, service: d, answer: func() ([]byte, error) { return d.answer(r, nil) }}
-	if call.changes = d.strike(call); call.changes == nil {
+	call := &Call{Writer: w, Request: r, discovery: d, awaitAnswer: func() ([]byte, error) { return d.awaitAnswer(r, nil) }}
+	if call.faultChanged = d.applyFault(call); call.faultChanged == nil {
 		return
 	}
-	text, err := d.answer(r, call.changes)
-	call.open = true
-	if d.strike(call) == nil {
+	text, err := d.awaitAnswer(r, call.faultChanged)
+	call.beganBeforeFault = true
+	if d.applyFault(call) == nil {
 		return // a fault has begun meanwhile
 	}
 	if err != nil {
@@ -200,23 +200,23 @@
 
 // strike has the present fault strike a call; nil once it is done with it. Where there is none it gives
 // what is closed when that changes.
-func (d *Discovery) strike(call *Call) <-chan struct{} {
+func (d *Discovery) applyFault(call *Call) <-chan struct{} {
 	d.mu.Lock()
-	fault, changes := d.fault, d.changes
+	fault, faultChanged := d.fault, d.faultChanged
 	d.mu.Unlock()
 	if fault == nil {
-		return changes
+		return faultChanged
 	}
-	call.changes = changes
+	call.faultChanged = faultChanged
 	fault(call)
 	return nil
 }
 
 // answer waits for what a call asks for, or until the channel closes, and gives its text.
-func (d *Discovery) answer(r *http.Request, until <-chan struct{}) ([]byte, error) {
+func (d *Discovery) awaitAnswer(r *http.Request, until <-chan struct{}) ([]byte, error) {
 	query := r.URL.Query()
 	if !query.Has("since") {
-		return json.Marshal(d.Known())
+		return json.Marshal(d.KnownList())
 	}
 	since, err := strconv.ParseInt(query.Get("since"), 10, 64)
 	if err != nil {
@@ -227,40 +227,40 @@
 		return nil, err
 	}
 	d.mu.Lock()
-	d.watched = max(d.watched, since)
+	d.watchedVersion = max(d.watchedVersion, since)
 	d.mu.Unlock()
-	d.await(r, since, time.Duration(waitMs)*time.Millisecond, until)
+	d.awaitChange(r, since, time.Duration(waitMs)*time.Millisecond, until)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return json.Marshal(d.since(since))
+	return json.Marshal(d.listSince(since))
 }
 
 // await waits until there is something newer than a version or the channel closes, for some time at most.
-func (d *Discovery) await(r *http.Request, since int64, wait time.Duration, until <-chan struct{}) {
+func (d *Discovery) awaitChange(r *http.Request, since int64, wait time.Duration, until <-chan struct{}) {
 	d.mu.Lock()
-	news, there := d.news, d.rev > since
+	changed, isNewer := d.changed, d.version > since
 	d.mu.Unlock()
-	if there {
+	if isNewer {
 		return
 	}
-	over := time.NewTimer(wait)
-	defer over.Stop()
+	timeout := time.NewTimer(wait)
+	defer timeout.Stop()
 	select {
-	case <-news:
-	case <-over.C:
+	case <-changed:
+	case <-timeout.C:
 	case <-until:
 	case <-r.Context().Done():
 	}
 }
 
 // since gives what is newer than a version; 0: the whole list. The lock is held.
-func (d *Discovery) since(rev int64) List {
-	list := List{Rev: d.rev, All: rev == 0, Targets: []Line{}}
-	for uid, line := range d.lines {
-		if rev == 0 && line.State != Terminated || rev > 0 && d.changed[uid] > rev {
-			list.Targets = append(list.Targets, line)
+func (d *Discovery) listSince(version int64) List {
+	list := List{Version: d.version, IsWhole: version == 0, Entries: []Entry{}}
+	for uid, entry := range d.entries {
+		if version == 0 && entry.State != Terminated || version > 0 && d.changedAtVersion[uid] > version {
+			list.Entries = append(list.Entries, entry)
 		}
 	}
-	slices.SortFunc(list.Targets, func(a, b Line) int { return strings.Compare(a.UID, b.UID) })
+	slices.SortFunc(list.Entries, func(a, b Entry) int { return strings.Compare(a.UID, b.UID) })
 	return list
 }
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -15,19 +15,19 @@
 	Writer  http.ResponseWriter
 	Request *http.Request
 
-	service *Discovery
-	changes <-chan struct{} // closed when the fault of the service changes
-	framing *Framing        // nil: a compact text with its length
-	answer  func() ([]byte, error)
-	open    bool // it had come before the fault began
+	discovery        *Discovery
+	faultChanged     <-chan struct{} // closed when the fault of the service changes
+	framing          *Framing        // nil: a compact text with its length
+	awaitAnswer      func() ([]byte, error)
+	beganBeforeFault bool // it had come before the fault began
 }
 
 // Answer writes what discovery has to say, once there is something.
-func (c *Call) Answer() { c.write(c.text()) }
+func (c *Call) Answer() { c.write(c.answerText()) }
 
 // text gives discovery's answer; nil where the call is malformed, which is answered.
-func (c *Call) text() []byte {
-	text, err := c.answer()
+func (c *Call) answerText() []byte {
+	text, err := c.awaitAnswer()
 	if err != nil {
 		http.Error(c.Writer, err.Error(), http.StatusBadRequest)
 		return nil
@@ -41,22 +41,22 @@
 	case c.framing != nil:
 		c.framing.write(c, text)
 	default:
-		c.writeAsIs(text)
+		c.writeWithLength(text)
 	}
 }
 
 // writeAsIs writes a text with its length.
-func (c *Call) writeAsIs(text []byte) {
+func (c *Call) writeWithLength(text []byte) {
 	c.Writer.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	c.Writer.Write(text)
 }
 
 // pause waits; false where the caller has left.
-func (c *Call) pause(wait time.Duration) bool {
-	over := time.NewTimer(wait)
-	defer over.Stop()
+func (c *Call) pause(delay time.Duration) bool {
+	timer := time.NewTimer(delay)
+	defer timer.Stop()
 	select {
-	case <-over.C:
+	case <-timer.C:
 		return true
 	case <-c.Request.Context().Done():
 		return false
@@ -67,7 +67,7 @@
 type Fault func(c *Call)
 
 // Slow has calls reach discovery only after some time.
-func Slow(delay time.Duration) Fault {
+func DelayedCalls(delay time.Duration) Fault {
 	return func(c *Call) {
 		if c.pause(delay) {
 			c.Answer()
@@ -76,9 +76,9 @@
 }
 
 // SlowAnswers has discovery's answers come only after some time: they tell what it had before.
-func SlowAnswers(delay time.Duration) Fault {
+func DelayedAnswers(delay time.Duration) Fault {
 	return func(c *Call) {
-		if text := c.text(); c.pause(delay) {
+		if text := c.answerText(); c.pause(delay) {
 			c.write(text)
 		}
 	}
@@ -88,9 +88,9 @@
 func Unavailable(c *Call) { c.Writer.WriteHeader(http.StatusServiceUnavailable) }
 
 // Crowded answers 503 after some time.
-func Crowded(wait time.Duration) Fault {
+func UnavailableAfter(delay time.Duration) Fault {
 	return func(c *Call) {
-		if c.pause(wait) {
+		if c.pause(delay) {
 			Unavailable(c)
 		}
 	}
@@ -100,56 +100,56 @@
 func Reset(*Call) { panic(http.ErrAbortHandler) }
 
 // Silent says nothing to a call, ever: its connection is dead, also when discovery is well again.
-func Silent(c *Call) { <-c.Request.Context().Done() }
+func NoAnswer(c *Call) { <-c.Request.Context().Done() }
 
 // Malformed answers what is no JSON.
 func Malformed(c *Call) { c.write([]byte(`{"rev":2,"targets":[}`)) }
 
 // Cut ends answers in their middle.
-func Cut(c *Call) {
-	text := c.text()
+func Truncated(c *Call) {
+	text := c.answerText()
 	c.Writer.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	c.Writer.Write(text[:len(text)/2])
 	panic(http.ErrAbortHandler)
 }
 
 // HeadOnly sends the head of an answer and nothing more.
-func HeadOnly(c *Call) {
+func HeadersOnly(c *Call) {
 	c.Writer.Header().Set("Content-Length", "5000")
 	http.NewResponseController(c.Writer).Flush()
-	Silent(c)
+	NoAnswer(c)
 }
 
 // Stalled begins an answer and falls silent in its middle until the fault of the service changes.
 func Stalled(c *Call) {
-	text := c.text()
+	text := c.answerText()
 	c.Writer.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	c.Writer.Write(text[:len(text)/2])
 	http.NewResponseController(c.Writer).Flush()
 	select {
-	case <-c.changes:
+	case <-c.faultChanged:
 		c.Writer.Write(text[len(text)/2:])
 	case <-c.Request.Context().Done():
 	}
 }
 
 // MissedWatches has watches that are open as a fault begins miss what changes then: they have nothing new to tell.
-func MissedWatches(fault Fault) Fault {
+func OpenWatchesMissChanges(fault Fault) Fault {
 	return func(c *Call) {
-		if c.open {
-			c.answer = c.nothingNew
+		if c.beganBeforeFault {
+			c.awaitAnswer = c.encodeNoChanges
 		}
 		fault(c)
 	}
 }
 
 // nothingNew is the answer to a watch that has waited in vain.
-func (c *Call) nothingNew() ([]byte, error) {
+func (c *Call) encodeNoChanges() ([]byte, error) {
 	since, err := strconv.ParseInt(c.Request.URL.Query().Get("since"), 10, 64)
 	if err != nil {
 		return nil, err
 	}
-	return json.Marshal(List{Rev: since, Targets: []Line{}})
+	return json.Marshal(List{Version: since, Entries: []Entry{}})
 }
 
 // After has another fault strike calls after some time.
@@ -164,7 +164,7 @@
 // Pieces sends answers in some pieces with pauses between them.
 func Pieces(count int, pause time.Duration) Fault {
 	return func(c *Call) {
-		text := c.text()
+		text := c.answerText()
 		c.Writer.Header().Set("Content-Length", strconv.Itoa(len(text)))
 		for i := range count {
 			c.Writer.Write(text[len(text)*i/count : len(text)*(i+1)/count])
@@ -191,7 +191,7 @@
 }
 
 // AllBut has a fault strike all calls but every nth.
-func AllBut(nth int, fault Fault) Fault {
+func AllButEveryNth(nth int, fault Fault) Fault {
 	var calls atomic.Int64
 	return func(c *Call) {
 		if calls.Add(1)%int64(nth) == 0 {
@@ -203,14 +203,14 @@
 }
 
 // Sometimes has a fault strike a share of the calls, drawn at random by a seed.
-func Sometimes(share float64, seed uint64, fault Fault) Fault {
+func AtRandom(share float64, seed uint64, fault Fault) Fault {
 	var mu sync.Mutex
-	rng := rand.New(rand.NewPCG(seed, 0))
+	random := rand.New(rand.NewPCG(seed, 0))
 	return func(c *Call) {
 		mu.Lock()
-		strikes := rng.Float64() < share
+		isDrawn := random.Float64() < share
 		mu.Unlock()
-		if strikes {
+		if isDrawn {
 			fault(c)
 			return
 		}
--- a/internal/standin/framing.go
+++ b/internal/standin/framing.go
@@ -27,11 +27,11 @@
 }
 
 // ByKind has one fault strike calls that wait for changes and another one those for the whole list; nil is none.
-func ByKind(watches, whole Fault) Fault {
+func ByCallKind(watchFault, wholeListFault Fault) Fault {
 	return func(c *Call) {
-		fault := whole
+		fault := wholeListFault
 		if c.Request.URL.Query().Has("since") {
-			fault = watches
+			fault = watchFault
 		}
 		if fault == nil {
 			c.Answer()
@@ -46,96 +46,96 @@
 
 // EarlierList answers at once with the whole list of an earlier version, as a replica that lags.
 func EarlierList(version int64) Fault {
-	return func(c *Call) { c.writeList(c.service.listOf(version)) }
+	return func(c *Call) { c.writeList(c.discovery.listAtVersion(version)) }
 }
 
 // WholeList answers with the whole list where changes were asked for, too.
 func WholeList(c *Call) {
-	c.text() // waits for news
-	c.writeList(c.service.Known())
+	c.answerText() // waits for news
+	c.writeList(c.discovery.KnownList())
 }
 
 // LateEnd writes an answer with no length at once and its end after some time.
 func LateEnd(delay time.Duration) Fault {
 	return func(c *Call) {
-		c.writeOpen(c.text())
+		c.writeChunked(c.answerText())
 		c.pause(delay)
 	}
 }
 
 // NoEnd writes an answer with no length at once, and never its end.
 func NoEnd(c *Call) {
-	c.writeOpen(c.text())
-	Silent(c)
+	c.writeChunked(c.answerText())
+	NoAnswer(c)
 }
 
 // ResetEnd writes an answer with no length at once, and a reset in place of its end.
 func ResetEnd(c *Call) {
-	c.writeOpen(c.text())
+	c.writeChunked(c.answerText())
 	c.pause(resetDelay)
-	c.reset()
+	c.resetConn()
 }
 
 // LateBehindLines writes an answer up to the end of some of its lines, and the rest after some time.
-func LateBehindLines(lines int, delay time.Duration) Fault {
+func DelayAfterEntries(entries int, delay time.Duration) Fault {
 	return func(c *Call) {
-		head, rest := splitBehindLines(c.text(), lines)
-		c.writeOpen(head)
+		head, rest := splitAfterEntries(c.answerText(), entries)
+		c.writeChunked(head)
 		if c.pause(delay) {
-			c.writeOpen(rest)
+			c.writeChunked(rest)
 		}
 	}
 }
 
 // CutBehindLines writes an answer up to the end of some of its lines and resets the connection.
-func CutBehindLines(lines int) Fault {
+func ResetAfterEntries(entries int) Fault {
 	return func(c *Call) {
-		head, _ := splitBehindLines(c.text(), lines)
-		c.writeOpen(head)
+		head, _ := splitAfterEntries(c.answerText(), entries)
+		c.writeChunked(head)
 		c.pause(resetDelay)
-		c.reset()
+		c.resetConn()
 	}
 }
 
 // LineByLine writes the first lines of an answer at once and the others one by one with pauses ahead of them.
-func LineByLine(first int, pause time.Duration) Fault {
+func EntryByEntry(firstEntries int, pause time.Duration) Fault {
 	return func(c *Call) {
-		head, rest := splitBehindLines(c.text(), first)
-		c.writeOpen(head)
+		head, rest := splitAfterEntries(c.answerText(), firstEntries)
+		c.writeChunked(head)
 		for len(rest) > 0 && c.pause(pause) {
-			head, rest = splitBehindLines(rest, 1)
-			c.writeOpen(head)
+			head, rest = splitAfterEntries(rest, 1)
+			c.writeChunked(head)
 		}
 	}
 }
 
 // Padded has a fault strike answers that some blanks follow.
-func Padded(blanks int, fault Fault) Fault {
-	return rewritten(fault, func(text []byte) ([]byte, error) {
-		return append(text, bytes.Repeat([]byte{' '}, blanks)...), nil
+func Padded(spaces int, fault Fault) Fault {
+	return rewriteAnswers(fault, func(text []byte) ([]byte, error) {
+		return append(text, bytes.Repeat([]byte{' '}, spaces)...), nil
 	})
 }
 
 // VersionLast has a fault strike answers that tell their version behind the lines.
 func VersionLast(fault Fault) Fault {
-	return rewritten(fault, func(text []byte) ([]byte, error) {
+	return rewriteAnswers(fault, func(text []byte) ([]byte, error) {
 		var list List
 		if err := json.Unmarshal(text, &list); err != nil {
 			return nil, err
 		}
 		return json.Marshal(struct {
-			All     bool   `json:"all"`
-			Targets []Line `json:"targets"`
-			Rev     int64  `json:"rev"`
-		}{list.All, list.Targets, list.Rev})
+			IsWhole bool    `json:"all"`
+			Entries []Entry `json:"targets"`
+			Version int64   `json:"rev"`
+		}{list.IsWhole, list.Entries, list.Version})
 	})
 }
 
 // rewritten has a fault strike calls whose answers are rewritten.
-func rewritten(fault Fault, rewrite func(text []byte) ([]byte, error)) Fault {
+func rewriteAnswers(fault Fault, rewrite func(text []byte) ([]byte, error)) Fault {
 	return func(c *Call) {
-		answer := c.answer
-		c.answer = func() ([]byte, error) {
+		answer := c.awaitAnswer
+		c.awaitAnswer = func() ([]byte, error) {
 			text, err := answer()
 			if err != nil {
 				return nil, err
@@ -147,9 +147,9 @@
 }
 
 // splitBehindLines splits an answer behind the given number of lines; they hold no braces but their own.
-func splitBehindLines(text []byte, lines int) (head, rest []byte) {
+func splitAfterEntries(text []byte, entries int) (head, rest []byte) {
 	end := 0
-	for range lines {
+	for range entries {
 		brace := bytes.IndexByte(text[end:], '}')
 		if brace < 0 {
 			return text, nil
@@ -171,13 +171,13 @@
 }
 
 // writeOpen sends a part of an answer that has no length: it is chunked.
-func (c *Call) writeOpen(text []byte) {
+func (c *Call) writeChunked(text []byte) {
 	c.Writer.Write(text)
 	http.NewResponseController(c.Writer).Flush()
 }
 
 // reset resets the connection of a call.
-func (c *Call) reset() {
+func (c *Call) resetConn() {
 	conn, _, err := http.NewResponseController(c.Writer).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
--- a/internal/standin/history.go
+++ b/internal/standin/history.go
@@ -14,14 +14,14 @@
 const (
 	// firstVersion is the version that replicas give to the beginning of a history, and restartVersion the
 	// one that they give to its present state when their counter starts anew.
-	firstVersion   = 100
+	versionBase    = 100
 	restartVersion = 20
 )
 
 // revision is one state of a history: the lines that it changed, and since when it holds.
 type revision struct {
-	at    time.Time
-	lines []Line
+	madeAt  time.Time
+	entries []Entry
 }
 
 // History is the sequence of changes of a server list. Replicas serve it, each as it was some time ago. It
@@ -29,32 +29,32 @@
 type History struct {
 	mu        sync.Mutex
 	revisions []revision
-	news      chan struct{} // closed and replaced at each change
+	changed   chan struct{} // closed and replaced at each change
 }
 
 // NewHistory begins a history with the given lines.
-func NewHistory(lines []Line) *History {
-	return &History{revisions: []revision{{at: time.Now(), lines: lines}}, news: make(chan struct{})}
+func NewHistory(entries []Entry) *History {
+	return &History{revisions: []revision{{madeAt: time.Now(), entries: entries}}, changed: make(chan struct{})}
 }
 
 // Change puts lines in place as one revision.
-func (h *History) Change(lines ...Line) {
+func (h *History) Change(entries ...Entry) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.revisions = append(h.revisions, revision{at: time.Now(), lines: lines})
-	close(h.news)
-	h.news = make(chan struct{})
+	h.revisions = append(h.revisions, revision{madeAt: time.Now(), entries: entries})
+	close(h.changed)
+	h.changed = make(chan struct{})
 }
 
 // Line gives the present line of a server.
-func (h *History) Line(uid string) Line {
+func (h *History) Entry(uid string) Entry {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.state(len(h.revisions), 0)[uid]
+	return h.changedEntries(len(h.revisions), 0)[uid]
 }
 
 // latest is the number of revisions.
-func (h *History) latest() int {
+func (h *History) revisionCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.revisions)
@@ -62,43 +62,43 @@
 
 // visible gives the number of revisions that a replica has that lags by some time, when it gets the next
 // one (zero: none is there), and what is closed when there is a change.
-func (h *History) visible(lag time.Duration) (count int, next time.Time, news <-chan struct{}) {
+func (h *History) visibleRevisions(lag time.Duration) (count int, nextAt time.Time, changed <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	seen := time.Now().Add(-lag)
+	cutoff := time.Now().Add(-lag)
 	count = 1
-	for count < len(h.revisions) && !h.revisions[count].at.After(seen) {
+	for count < len(h.revisions) && !h.revisions[count].madeAt.After(cutoff) {
 		count++
 	}
 	if count < len(h.revisions) {
-		next = h.revisions[count].at.Add(lag)
+		nextAt = h.revisions[count].madeAt.Add(lag)
 	}
-	return count, next, h.news
+	return count, nextAt, h.changed
 }
 
 // state gives the lines that were changed after a revision up to another one. The lock is held.
-func (h *History) state(upTo, after int) map[string]Line {
-	lines := map[string]Line{}
+func (h *History) changedEntries(upTo, after int) map[string]Entry {
+	entries := map[string]Entry{}
 	for _, r := range h.revisions[min(after, upTo):upTo] {
-		for _, line := range r.lines {
-			lines[line.UID] = line
+		for _, entry := range r.entries {
+			entries[entry.UID] = entry
 		}
 	}
-	return lines
+	return entries
 }
 
 // targets gives the lines of a whole list, or of the changes after a revision, sorted by uid.
-func (h *History) targets(upTo, after int) []Line {
+func (h *History) listEntries(upTo, after int) []Entry {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	lines := h.state(upTo, after)
-	targets := []Line{}
-	for _, uid := range slices.Sorted(maps.Keys(lines)) {
-		if line := lines[uid]; after > 0 || line.State != Terminated {
-			targets = append(targets, line)
+	byUID := h.changedEntries(upTo, after)
+	entries := []Entry{}
+	for _, uid := range slices.Sorted(maps.Keys(byUID)) {
+		if entry := byUID[uid]; after > 0 || entry.State != Terminated {
+			entries = append(entries, entry)
 		}
 	}
-	return targets
+	return entries
 }
 
 // StaleKind says what stale calls to a replica are answered from.
@@ -112,15 +112,15 @@
 
 // Stale says which calls to a replica are stale, and by how much: Count in a row of each Of. The zero value
 // has none be so.
-type Stale struct {
-	Kind  StaleKind
-	Lag   time.Duration
-	Count int
-	Of    int
+type StalePattern struct {
+	Kind   StaleKind
+	Lag    time.Duration
+	Count  int
+	Period int
 }
 
 // strikes tells whether a call is stale.
-func (s Stale) strikes(call int) bool { return s.Of > 0 && call%s.Of < s.Count }
+func (s StalePattern) isStale(call int) bool { return s.Period > 0 && call%s.Period < s.Count }
 
 // Replica is a discovery service that serves a history as it was some time ago. It speaks the published
 // protocol. It is safe for concurrent use.
@@ -130,21 +130,21 @@
 	lag      time.Duration
 	observer AnswerObserver // nil: none
 
-	mu      sync.Mutex
-	offset  int // of its versions from the numbers of the history
-	counter int // how often its versions started anew
-	stale   Stale
-	framing Framing
-	fault   Fault         // nil: none
-	changes chan struct{} // closed and replaced when the fault changes
-	calls   int
+	mu              sync.Mutex
+	versionOffset   int // of its versions from the numbers of the history
+	versionRestarts int // how often its versions started anew
+	stalePattern    StalePattern
+	framing         Framing
+	fault           Fault         // nil: none
+	faultChanged    chan struct{} // closed and replaced when the fault changes
+	callCount       int
 }
 
 // NewReplica starts a replica on loopback whose versions are apart from those of others by offset. Close
 // ends it. The observer, if there is one, is told what it writes.
 func (h *History) NewReplica(lag time.Duration, offset int, observer AnswerObserver) *Replica {
 	r := &Replica{
-		history: h, lag: lag, offset: firstVersion + offset, observer: observer, changes: make(chan struct{}),
+		history: h, lag: lag, versionOffset: versionBase + offset, observer: observer, faultChanged: make(chan struct{}),
 	}
 	r.server = httptest.NewServer(r)
 	return r
@@ -169,8 +169,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.fault = fault
-	close(r.changes)
-	r.changes = make(chan struct{})
+	close(r.faultChanged)
+	r.faultChanged = make(chan struct{})
 }
 
 // SetFraming sets how answers are written from now on.
@@ -181,91 +181,91 @@
 }
 
 // SetStale sets which calls that come from now on are stale.
-func (r *Replica) SetStale(stale Stale) {
+func (r *Replica) SetStalePattern(pattern StalePattern) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.stale = stale
+	r.stalePattern = pattern
 }
 
 // Restart breaks all connections, and has the versions start anew: they go back.
 func (r *Replica) Restart() {
-	latest := r.history.latest()
+	latest := r.history.revisionCount()
 	r.mu.Lock()
-	r.offset = restartVersion - latest
-	r.counter++
+	r.versionOffset = restartVersion - latest
+	r.versionRestarts++
 	r.mu.Unlock()
 	r.server.CloseClientConnections()
 }
 
 // Known gives the whole list as the replica has it, as a configuration may hold it.
-func (r *Replica) Known() List {
-	count, _, _ := r.history.visible(r.lag)
+func (r *Replica) KnownList() List {
+	count, _, _ := r.history.visibleRevisions(r.lag)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return List{Rev: int64(count + r.offset), All: true, Targets: r.history.targets(count, 0)}
+	return List{Version: int64(count + r.versionOffset), IsWhole: true, Entries: r.history.listEntries(count, 0)}
 }
 
 // replicaCall is one call to a replica.
 type replicaCall struct {
-	replica *Replica
-	request *http.Request
-	answer  *Answer
-	stale   *Stale // nil: it is answered as it should be
-	offset  int
+	replica       *Replica
+	request       *http.Request
+	answer        *Answer
+	stale         *StalePattern // nil: it is answered as it should be
+	versionOffset int
 }
 
 // ServeHTTP implements http.Handler. A fault strikes open watches as well as the calls that come after it.
 func (r *Replica) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	r.mu.Lock()
-	r.calls++
-	call := &replicaCall{replica: r, request: request, offset: r.offset}
-	call.answer = &Answer{Number: r.calls, Called: time.Now(), Counter: r.counter}
-	if stale := r.stale; stale.strikes(r.calls) {
-		call.stale = &stale
+	r.callCount++
+	call := &replicaCall{replica: r, request: request, versionOffset: r.versionOffset}
+	call.answer = &Answer{CallNumber: r.callCount, CalledAt: time.Now(), VersionRestarts: r.versionRestarts}
+	if pattern := r.stalePattern; pattern.isStale(r.callCount) {
+		call.stale = &pattern
 	}
 	framing := r.framing
 	r.mu.Unlock()
 	writer := &observedWriter{ResponseWriter: w, answer: call.answer, observer: r.observer}
-	defer writer.end(request)
+	defer writer.finish(request)
 	r.serve(call, &Call{Writer: writer, Request: request, framing: &framing})
 }
 
 // serve answers a call, or has a fault strike it.
-func (r *Replica) serve(call *replicaCall, out *Call) {
-	out.answer = func() ([]byte, error) { return call.text(nil) }
-	if out.changes = r.strike(out); out.changes == nil {
+func (r *Replica) serve(call *replicaCall, discoveryCall *Call) {
+	discoveryCall.awaitAnswer = func() ([]byte, error) { return call.awaitAnswer(nil) }
+	if discoveryCall.faultChanged = r.applyFault(discoveryCall); discoveryCall.faultChanged == nil {
 		return
 	}
-	text, err := call.text(out.changes)
-	if r.strike(out) == nil {
+	text, err := call.awaitAnswer(discoveryCall.faultChanged)
+	if r.applyFault(discoveryCall) == nil {
 		return // a fault has begun meanwhile
 	}
 	if err != nil {
-		http.Error(out.Writer, err.Error(), http.StatusBadRequest)
+		http.Error(discoveryCall.Writer, err.Error(), http.StatusBadRequest)
 		return
 	}
-	out.write(text)
+	discoveryCall.write(text)
 }
 
 // strike has the present fault strike a call; nil once it is done with it. Where there is none it gives
 // what is closed when that changes.
-func (r *Replica) strike(call *Call) <-chan struct{} {
+func (r *Replica) applyFault(call *Call) <-chan struct{} {
 	r.mu.Lock()
-	fault, changes := r.fault, r.changes
+	fault, faultChanged := r.fault, r.faultChanged
 	r.mu.Unlock()
 	if fault == nil {
-		return changes
+		return faultChanged
 	}
-	call.changes = changes
+	call.faultChanged = faultChanged
 	fault(call)
 	return nil
 }
 
 // text waits for what the call asks for, or until the channel closes, and gives its text.
-func (c *replicaCall) text(until <-chan struct{}) ([]byte, error) {
+func (c *replicaCall) awaitAnswer(until <-chan struct{}) ([]byte, error) {
 	query := c.request.URL.Query()
 	if !query.Has("since") {
-		return c.marshal(0)
+		return c.encodeList(0)
 	}
 	since, err := strconv.Atoi(query.Get("since"))
 	if err != nil {
@@ -275,12 +275,12 @@
 	if err != nil {
 		return nil, err
 	}
-	after := since - c.offset
-	if after < 1 || after > c.replica.history.latest() {
-		return c.marshal(0) // of another counter of versions
+	after := since - c.versionOffset
+	if after < 1 || after > c.replica.history.revisionCount() {
+		return c.encodeList(0) // of another counter of versions
 	}
-	c.await(after, time.Duration(waitMs)*time.Millisecond, until)
-	return c.marshal(after)
+	c.awaitChange(after, time.Duration(waitMs)*time.Millisecond, until)
+	return c.encodeList(after)
 }
 
 // lag is how old the state is whose news the call waits for.
@@ -292,34 +292,34 @@
 }
 
 // await waits until there is something newer than a revision or the channel closes, for some time at most.
-func (c *replicaCall) await(after int, wait time.Duration, until <-chan struct{}) {
-	over := time.NewTimer(wait)
-	defer over.Stop()
+func (c *replicaCall) awaitChange(after int, wait time.Duration, until <-chan struct{}) {
+	timeout := time.NewTimer(wait)
+	defer timeout.Stop()
 	for {
-		count, next, news := c.replica.history.visible(c.lag())
+		count, nextAt, changed := c.replica.history.visibleRevisions(c.lag())
 		if count > after {
 			return
 		}
-		if !c.sleep(next, news, over.C, until) {
+		if !c.awaitNextRevision(nextAt, changed, timeout.C, until) {
 			return
 		}
 	}
 }
 
 // sleep waits for the next revision; false where the wait is over.
-func (c *replicaCall) sleep(next time.Time, news <-chan struct{}, over <-chan time.Time, until <-chan struct{}) bool {
+func (c *replicaCall) awaitNextRevision(nextAt time.Time, changed <-chan struct{}, timeout <-chan time.Time, until <-chan struct{}) bool {
 	var due <-chan time.Time
-	if !next.IsZero() {
-		timer := time.NewTimer(time.Until(next))
+	if !nextAt.IsZero() {
+		timer := time.NewTimer(time.Until(nextAt))
 		defer timer.Stop()
 		due = timer.C
 	}
 	select {
 	case <-due:
 		return true
-	case <-news:
+	case <-changed:
 		return true
-	case <-over:
+	case <-timeout:
 	case <-until:
 	case <-c.request.Context().Done():
 	}
@@ -327,12 +327,12 @@
 }
 
 // marshal gives the text of the changes after a revision; 0: of the whole list.
-func (c *replicaCall) marshal(after int) ([]byte, error) {
+func (c *replicaCall) encodeList(after int) ([]byte, error) {
 	lag := c.lag()
 	if c.stale != nil && c.stale.Kind == StaleList {
 		lag, after = max(lag, c.stale.Lag), 0
 	}
-	count, _, _ := c.replica.history.visible(lag)
-	c.answer.List = List{Rev: int64(count + c.offset), All: after == 0, Targets: c.replica.history.targets(count, after)}
+	count, _, _ := c.replica.history.visibleRevisions(lag)
+	c.answer.List = List{Version: int64(count + c.versionOffset), IsWhole: after == 0, Entries: c.replica.history.listEntries(count, after)}
 	return json.Marshal(c.answer.List)
 }
--- a/internal/standin/proxy.go
+++ b/internal/standin/proxy.go
@@ -14,13 +14,13 @@
 
 // The faults of a link.
 const (
-	LinkWhole    LinkFault = iota // passes all on
-	LinkDelays                    // passes all on, late
-	LinkTrickles                  // byte by byte, with pauses
-	LinkCuts                      // passes half of an answer on and resets
-	LinkCloses                    // passes an answer on and closes behind it
-	LinkResets                    // resets whatever says something or connects
-	LinkSilent                    // takes everything and passes nothing on, as a machine that is cut off
+	LinkHealthy   LinkFault = iota // passes all on
+	LinkDelays                     // passes all on, late
+	LinkTrickles                   // byte by byte, with pauses
+	LinkTruncates                  // passes half of an answer on and resets
+	LinkCloses                     // passes an answer on and closes behind it
+	LinkResets                     // resets whatever says something or connects
+	LinkDropsData                  // takes everything and passes nothing on, as a machine that is cut off
 )
 
 var linkFaultNames = [...]string{"whole", "delays", "trickles", "cuts", "closes", "resets", "silent"}
@@ -29,14 +29,14 @@
 func (f LinkFault) String() string { return linkFaultNames[f] }
 
 const (
-	linkDelay = 250 * time.Millisecond
-	linkPause = 2 * time.Millisecond
+	linkDelay       = 250 * time.Millisecond
+	trickleInterval = 2 * time.Millisecond
 )
 
 // Proxy stands between two parties on TCP and spoils what they say. It is safe for concurrent use.
 type Proxy struct {
-	listener net.Listener
-	to       string
+	listener   net.Listener
+	targetAddr string
 
 	mu    sync.Mutex
 	fault LinkFault
@@ -44,13 +44,13 @@
 }
 
 // NewProxy starts a proxy on loopback to an address. Close ends it.
-func NewProxy(to string) (*Proxy, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+func NewProxy(targetAddr string) (*Proxy, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("proxy: %w", err)
 	}
-	p := &Proxy{listener: l, to: to, conns: map[net.Conn]struct{}{}}
-	go p.accept()
+	p := &Proxy{listener: listener, targetAddr: targetAddr, conns: map[net.Conn]struct{}{}}
+	go p.acceptConns()
 	return p, nil
 }
 
@@ -68,7 +68,7 @@
 }
 
 // Set sets what happens from now on; LinkResets breaks all that is open at once.
-func (p *Proxy) Set(fault LinkFault) {
+func (p *Proxy) SetFault(fault LinkFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.fault = fault
@@ -76,74 +76,74 @@
 		return
 	}
 	for c := range p.conns {
-		reset(c)
+		resetConn(c)
 	}
 }
 
-func (p *Proxy) now() LinkFault {
+func (p *Proxy) currentFault() LinkFault {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.fault
 }
 
-func (p *Proxy) accept() {
+func (p *Proxy) acceptConns() {
 	for {
-		near, err := p.listener.Accept()
+		client, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		if p.now() == LinkResets {
-			reset(near)
+		if p.currentFault() == LinkResets {
+			resetConn(client)
 			continue
 		}
-		far, err := net.Dial("tcp", p.to)
+		server, err := net.Dial("tcp", p.targetAddr)
 		if err != nil {
-			near.Close()
+			client.Close()
 			continue
 		}
 		p.mu.Lock()
-		p.conns[near], p.conns[far] = struct{}{}, struct{}{}
+		p.conns[client], p.conns[server] = struct{}{}, struct{}{}
 		p.mu.Unlock()
-		var ends sync.WaitGroup
-		ends.Go(func() { p.pass(near, far, false) })
-		ends.Go(func() { p.pass(far, near, true) })
+		var directions sync.WaitGroup
+		directions.Go(func() { p.copyUnderFault(client, server, false) })
+		directions.Go(func() { p.copyUnderFault(server, client, true) })
 		go func() {
-			ends.Wait()
+			directions.Wait()
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			delete(p.conns, near)
-			delete(p.conns, far)
+			delete(p.conns, client)
+			delete(p.conns, server)
 		}()
 	}
 }
 
 // reset ends a connection with a reset.
-func reset(c net.Conn) {
+func resetConn(c net.Conn) {
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
-var errLinkCut = errors.New("the link is cut")
+var errConnEnded = errors.New("the link is cut")
 
 // pass copies one direction of a connection until it ends.
-func (p *Proxy) pass(from, to net.Conn, answers bool) {
+func (p *Proxy) copyUnderFault(from, to net.Conn, fromServer bool) {
 	defer from.Close()
 	defer to.Close()
-	lost := false // bytes of it were swallowed: it never says anything again
+	dropsData := false // bytes of it were swallowed: it never says anything again
 	chunk := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(chunk)
 		if err != nil {
 			return
 		}
-		fault := p.now()
-		if lost = lost || fault == LinkSilent; lost {
+		fault := p.currentFault()
+		if dropsData = dropsData || fault == LinkDropsData; dropsData {
 			continue
 		}
-		if err := forward(to, chunk[:n], fault, answers); err != nil {
+		if err := forward(to, chunk[:n], fault, fromServer); err != nil {
 			if fault != LinkCloses {
-				reset(from)
-				reset(to)
+				resetConn(from)
+				resetConn(to)
 			}
 			return
 		}
@@ -151,13 +151,13 @@
 }
 
 // forward writes what came, under a fault.
-func forward(to io.Writer, chunk []byte, fault LinkFault, answers bool) error {
+func forward(to io.Writer, chunk []byte, fault LinkFault, fromServer bool) error {
 	switch {
 	case fault == LinkResets:
-		return errLinkCut
-	case fault == LinkCuts && answers:
+		return errConnEnded
+	case fault == LinkTruncates && fromServer:
 		to.Write(chunk[:len(chunk)/2])
-		return errLinkCut
+		return errConnEnded
 	case fault == LinkDelays:
 		time.Sleep(linkDelay)
 	case fault == LinkTrickles:
@@ -165,13 +165,13 @@
 			if _, err := to.Write(chunk[i : i+1]); err != nil {
 				return err
 			}
-			time.Sleep(linkPause)
+			time.Sleep(trickleInterval)
 		}
 		return nil
 	}
 	_, err := to.Write(chunk)
-	if err == nil && fault == LinkCloses && answers {
-		return errLinkCut
+	if err == nil && fault == LinkCloses && fromServer {
+		return errConnEnded
 	}
 	return err
 }
--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -62,8 +62,8 @@
 }
 
 func TestBucketHoldsOneSecond(t *testing.T) {
-	bucket := Bucket{PerSecond: 5}
-	taken := func(now time.Duration) (n int) {
+	bucket := TokenBucket{TokensPerSecond: 5}
+	countTaken := func(now time.Duration) (n int) {
 		for range 100 {
 			if bucket.Take(now) {
 				n++
@@ -71,13 +71,13 @@
 		}
 		return n
 	}
-	if n := taken(time.Hour); n != 5 {
+	if n := countTaken(time.Hour); n != 5 {
 		t.Errorf("%d tokens after a long rest, want 5", n)
 	}
-	if n := taken(time.Hour + 400*time.Millisecond); n != 2 {
+	if n := countTaken(time.Hour + 400*time.Millisecond); n != 2 {
 		t.Errorf("%d tokens 0.4 s later, want 2", n)
 	}
-	if endless := (Bucket{}); !endless.Take(0) || !endless.Take(0) {
+	if unlimited := (TokenBucket{}); !unlimited.Take(0) || !unlimited.Take(0) {
 		t.Error("a bucket without a rate ran out")
 	}
 }
--- a/internal/stats/window.go
+++ b/internal/stats/window.go
@@ -19,17 +19,17 @@
 	Successes  int     // of these
 	LatencySum float64 // of the successes, in the unit of Add
 
-	ring [windowSize]outcome
-	next int // place of the next outcome in ring
+	ring      [windowSize]outcome
+	nextIndex int // place of the next outcome in ring
 }
 
 // Add takes in an outcome, which takes the place of the oldest one where the window is full.
 func (w *Window) Add(at time.Duration, success bool, latency float64) {
 	if w.Count == windowSize {
-		w.drop(&w.ring[w.next])
+		w.subtract(&w.ring[w.nextIndex])
 	}
-	w.ring[w.next] = outcome{at, success, latency}
-	w.next = (w.next + 1) % windowSize
+	w.ring[w.nextIndex] = outcome{at, success, latency}
+	w.nextIndex = (w.nextIndex + 1) % windowSize
 	w.Count++
 	if success {
 		w.Successes++
@@ -40,18 +40,18 @@
 // Expire drops the outcomes from before a time or at it.
 func (w *Window) Expire(until time.Duration) {
 	for w.Count > 0 {
-		oldest := &w.ring[(w.next+windowSize-w.Count)%windowSize]
+		oldest := &w.ring[(w.nextIndex+windowSize-w.Count)%windowSize]
 		if oldest.at > until {
 			return
 		}
-		w.drop(oldest)
+		w.subtract(oldest)
 	}
 }
 
-func (w *Window) drop(oldest *outcome) {
+func (w *Window) subtract(removed *outcome) {
 	w.Count--
-	if oldest.success {
+	if removed.success {
 		w.Successes--
-		w.LatencySum -= oldest.latency
+		w.LatencySum -= removed.latency
 	}
 }
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -7,53 +7,53 @@
 type Table[K comparable, V any] struct {
 	Entries []V // not to be appended to or reordered
 
-	key    func(V) K
-	places map[K]int32
+	keyOf      func(V) K
+	indexByKey map[K]int32
 }
 
 // New makes a table of entries that tell their own keys.
-func New[K comparable, V any](key func(V) K) Table[K, V] {
-	return Table[K, V]{key: key, places: map[K]int32{}}
+func New[K comparable, V any](keyOf func(V) K) Table[K, V] {
+	return Table[K, V]{keyOf: keyOf, indexByKey: map[K]int32{}}
 }
 
 // Clear removes all entries.
 func (t *Table[K, V]) Clear() {
 	clear(t.Entries)
 	t.Entries = t.Entries[:0]
-	clear(t.places)
+	clear(t.indexByKey)
 }
 
 // Get gives the entry of a key; false where there is none.
 func (t *Table[K, V]) Get(key K) (entry V, ok bool) {
-	place, ok := t.places[key]
+	index, ok := t.indexByKey[key]
 	if ok {
-		entry = t.Entries[place]
+		entry = t.Entries[index]
 	}
 	return entry, ok
 }
 
 // Put adds an entry or replaces the one of the same key.
 func (t *Table[K, V]) Put(entry V) {
-	key := t.key(entry)
-	if place, ok := t.places[key]; ok {
-		t.Entries[place] = entry
+	key := t.keyOf(entry)
+	if index, ok := t.indexByKey[key]; ok {
+		t.Entries[index] = entry
 		return
 	}
-	t.places[key] = int32(len(t.Entries))
+	t.indexByKey[key] = int32(len(t.Entries))
 	t.Entries = append(t.Entries, entry)
 }
 
 // Remove removes the entry of a key, if there is one; the last entry takes its place.
 func (t *Table[K, V]) Remove(key K) {
-	place, ok := t.places[key]
+	index, ok := t.indexByKey[key]
 	if !ok {
 		return
 	}
 	last := len(t.Entries) - 1
 	moved := t.Entries[last]
-	t.Entries[place] = moved
-	t.places[t.key(moved)] = place
+	t.Entries[index] = moved
+	t.indexByKey[t.keyOf(moved)] = index
 	clear(t.Entries[last:])
 	t.Entries = t.Entries[:last]
-	delete(t.places, key)
+	delete(t.indexByKey, key)
 }
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestEntriesStandInTheOrderOfTheirAddition(t *testing.T) {
+func TestEntriesKeepTheirInsertionOrder(t *testing.T) {
 	table := New(func(e entry) int { return e.key })
 	for _, key := range []int{5, 3, 9, 1} {
 		table.Put(entry{key, 0})
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -10,32 +10,32 @@
 )
 
 // ms reads a time in milliseconds; it stays at its default where a key is absent.
-type ms struct {
-	value time.Duration
-	given bool
+type optionalMs struct {
+	duration time.Duration
+	isGiven  bool
 }
 
-func (m *ms) UnmarshalJSON(text []byte) error {
+func (m *optionalMs) UnmarshalJSON(text []byte) error {
 	if string(text) == "null" {
 		return nil
 	}
-	var v float64
-	if err := json.Unmarshal(text, &v); err != nil {
+	var milliseconds float64
+	if err := json.Unmarshal(text, &milliseconds); err != nil {
 		return err
 	}
-	d, ok := duration(v)
+	d, ok := millisecondsToDuration(milliseconds)
 	if !ok {
-		return fmt.Errorf("time %v is too long", v)
+		return fmt.Errorf("time %v is too long", milliseconds)
 	}
-	m.value, m.given = d, true
+	m.duration, m.isGiven = d, true
 	return nil
 }
 
-func (m ms) or(d time.Duration) time.Duration {
-	if m.given {
-		return m.value
+func (m optionalMs) orDefault(defaultValue time.Duration) time.Duration {
+	if m.isGiven {
+		return m.duration
 	}
-	return d
+	return defaultValue
 }
 
 type settingsJSON struct {
@@ -45,7 +45,7 @@
 	}
 	Balancers *int
 	Classes   []struct {
-		DeadlineMs, PromiseMs, KeyTtlMs ms
+		DeadlineMs, PromiseMs, KeyTtlMs optionalMs
 		AimStretch, LateWorth           float64
 		Importance                      *float64
 		Name, Effect, DedupScope        string
@@ -53,8 +53,8 @@
 	}
 	Contract struct {
 		ColdFrom, FallMultiple      *float64
-		ColdMs, FallMs, MustAskInMs ms
-		DrainGraceMs                ms
+		ColdMs, FallMs, MustAskInMs optionalMs
+		DrainGraceMs                optionalMs
 	}
 	CountedBy  string
 	Deductions struct{ Waste, LateFail float64 }
@@ -62,8 +62,8 @@
 	Limits     struct {
 		Cancel, RetryAfter, SecondCopies bool
 		MaxAttempts                      *int
-		MaxRetryAfterMs                  ms
-		ConnIdleMs, ConnectTimeoutMs     ms
+		MaxRetryAfterMs                  optionalMs
+		ConnIdleMs, ConnectTimeoutMs     optionalMs
 	}
 	Locality       int
 	Me             *int
@@ -74,19 +74,19 @@
 
 // Site is what the settings say beyond the decisions: names as they stand on
 // sockets, in the order of their indices, and the times of connections.
-type Site struct {
-	Settings       policy.Settings
-	Classes        []string
-	Tenants        []string
-	Zones          []string
-	ConnIdle       time.Duration // a server closes a connection that was idle for so long
-	ConnectTimeout time.Duration
+type NodeSettings struct {
+	Policy          policy.Settings
+	ClassNames      []string
+	TenantNames     []string
+	ZoneNames       []string
+	ConnIdleTimeout time.Duration // a server closes a connection that was idle for so long
+	ConnectTimeout  time.Duration
 }
 
 // set replaces a default by what was given.
-func set[T any](to *T, given *T) {
-	if given != nil {
-		*to = *given
+func setIfGiven[T any](target *T, value *T) {
+	if value != nil {
+		*target = *value
 	}
 }
 
@@ -97,93 +97,93 @@
 	if err := json.Unmarshal(text, &j); err != nil {
 		return policy.Defaults(), fmt.Errorf("settings: %w", err)
 	}
-	return j.policy()
+	return j.policySettings()
 }
 
 // ParseSite reads the same settings with what a node on sockets needs besides.
-func ParseSite(text []byte) (Site, error) {
+func ParseNodeSettings(text []byte) (NodeSettings, error) {
 	var j settingsJSON
 	if err := json.Unmarshal(text, &j); err != nil {
-		return Site{}, fmt.Errorf("settings: %w", err)
+		return NodeSettings{}, fmt.Errorf("settings: %w", err)
 	}
-	s, err := j.policy()
+	policySettings, err := j.policySettings()
 	if err != nil {
-		return Site{}, err
+		return NodeSettings{}, err
 	}
-	site := Site{
-		Settings: s, Zones: j.Zones,
-		ConnIdle:       j.Limits.ConnIdleMs.or(15 * time.Second),
-		ConnectTimeout: j.Limits.ConnectTimeoutMs.or(250 * time.Millisecond),
+	settings := NodeSettings{
+		Policy: policySettings, ZoneNames: j.Zones,
+		ConnIdleTimeout: j.Limits.ConnIdleMs.orDefault(15 * time.Second),
+		ConnectTimeout:  j.Limits.ConnectTimeoutMs.orDefault(250 * time.Millisecond),
 	}
 	for i, c := range j.Classes {
 		if c.Name == "" {
-			return Site{}, fmt.Errorf("settings: Classes[%d].Name: none given", i)
+			return NodeSettings{}, fmt.Errorf("settings: Classes[%d].Name: none given", i)
 		}
-		site.Classes = append(site.Classes, c.Name)
+		settings.ClassNames = append(settings.ClassNames, c.Name)
 	}
-	for _, t := range j.Accounts {
-		site.Tenants = append(site.Tenants, t.Name)
+	for _, account := range j.Accounts {
+		settings.TenantNames = append(settings.TenantNames, account.Name)
 	}
-	return site, nil
+	return settings, nil
 }
 
-func (j *settingsJSON) policy() (policy.Settings, error) {
-	s := policy.Defaults()
-	set(&s.NodeCount, j.Balancers)
-	set(&s.NodeIndex, j.Me)
-	set(&s.OverQuotaValueShare, j.OverShareWorth)
-	set(&s.Limits.MaxAttempts, j.Limits.MaxAttempts)
-	set(&s.Rules.ColdCapacityShare, j.Contract.ColdFrom)
-	set(&s.Rules.OverloadMultiple, j.Contract.FallMultiple)
-	s.Penalties = policy.Penalties{WastedWork: j.Deductions.Waste, LateFailure: j.Deductions.LateFail}
-	s.Zone = j.Locality
-	s.KeyAffinity = j.Extra.WarmKeys
-	s.ValueByWork = j.CountedBy == "work"
-	s.Limits.AllowCancel, s.Limits.AllowHedging = j.Limits.Cancel, j.Limits.SecondCopies
+func (j *settingsJSON) policySettings() (policy.Settings, error) {
+	settings := policy.Defaults()
+	setIfGiven(&settings.NodeCount, j.Balancers)
+	setIfGiven(&settings.NodeIndex, j.Me)
+	setIfGiven(&settings.OverQuotaValueShare, j.OverShareWorth)
+	setIfGiven(&settings.Limits.MaxAttempts, j.Limits.MaxAttempts)
+	setIfGiven(&settings.Rules.ColdCapacityShare, j.Contract.ColdFrom)
+	setIfGiven(&settings.Rules.OverloadMultiple, j.Contract.FallMultiple)
+	settings.Penalties = policy.Penalties{WastedWork: j.Deductions.Waste, LateFailure: j.Deductions.LateFail}
+	settings.Zone = j.Locality
+	settings.KeyAffinity = j.Extra.WarmKeys
+	settings.ValueByWork = j.CountedBy == "work"
+	settings.Limits.AllowCancel, settings.Limits.AllowHedging = j.Limits.Cancel, j.Limits.SecondCopies
 	if j.Limits.RetryAfter {
-		s.Limits.MaxRetryAfter = j.Limits.MaxRetryAfterMs.or(0)
+		settings.Limits.MaxRetryAfter = j.Limits.MaxRetryAfterMs.orDefault(0)
 	}
-	s.Rules.ColdDuration = j.Contract.ColdMs.or(s.Rules.ColdDuration)
-	s.Rules.OverloadDuration = j.Contract.FallMs.or(s.Rules.OverloadDuration)
-	s.Rules.MaxCallInterval = j.Contract.MustAskInMs.or(s.Rules.MaxCallInterval)
-	s.Rules.DrainGrace = j.Contract.DrainGraceMs.or(s.Rules.DrainGrace)
+	settings.Rules.ColdDuration = j.Contract.ColdMs.orDefault(settings.Rules.ColdDuration)
+	settings.Rules.OverloadDuration = j.Contract.FallMs.orDefault(settings.Rules.OverloadDuration)
+	settings.Rules.MaxCallInterval = j.Contract.MustAskInMs.orDefault(settings.Rules.MaxCallInterval)
+	settings.Rules.DrainGrace = j.Contract.DrainGraceMs.orDefault(settings.Rules.DrainGrace)
 	var ok bool
-	if s.ListOnRequest, ok = word(j.RegistryMode, map[string]bool{"": false, "pushed": false, "on_request": true}); !ok {
-		return s, fmt.Errorf("settings: RegistryMode: unknown word %q", j.RegistryMode)
+	if settings.ListOnRequest, ok = lookUp(j.RegistryMode, map[string]bool{"": false, "pushed": false, "on_request": true}); !ok {
+		return settings, fmt.Errorf("settings: RegistryMode: unknown word %q", j.RegistryMode)
 	}
-	for i, c := range j.Classes {
-		p := policy.Class{
-			Deadline: c.DeadlineMs.or(0), LatencyTarget: c.PromiseMs.or(c.DeadlineMs.or(0)), TargetWorkFactor: c.AimStretch,
-			LateValueShare: c.LateWorth, Value: 1, DedupWindow: c.KeyTtlMs.or(0), Streaming: c.Streaming,
+	for i, classJSON := range j.Classes {
+		class := policy.Class{
+			Deadline: classJSON.DeadlineMs.orDefault(0), LatencyTarget: classJSON.PromiseMs.orDefault(classJSON.DeadlineMs.orDefault(0)), TargetWorkFactor: classJSON.AimStretch,
+			LateValueShare: classJSON.LateWorth, Value: 1, DedupWindow: classJSON.KeyTtlMs.orDefault(0), Streaming: classJSON.Streaming,
 		}
-		set(&p.Value, c.Importance)
-		if p.Idempotency, ok = word(c.Effect, effects); !ok {
-			return s, fmt.Errorf("settings: Classes[%d].Effect: unknown word %q", i, c.Effect)
+		setIfGiven(&class.Value, classJSON.Importance)
+		if class.Idempotency, ok = lookUp(classJSON.Effect, idempotencyByName); !ok {
+			return settings, fmt.Errorf("settings: Classes[%d].Effect: unknown word %q", i, classJSON.Effect)
 		}
-		if p.DedupScope, ok = word(c.DedupScope, scopes); !ok {
-			return s, fmt.Errorf("settings: Classes[%d].DedupScope: unknown word %q", i, c.DedupScope)
+		if class.DedupScope, ok = lookUp(classJSON.DedupScope, dedupScopeByName); !ok {
+			return settings, fmt.Errorf("settings: Classes[%d].DedupScope: unknown word %q", i, classJSON.DedupScope)
 		}
-		s.Classes = append(s.Classes, p)
+		settings.Classes = append(settings.Classes, class)
 	}
-	for _, t := range j.Accounts {
-		s.Tenants = append(s.Tenants, policy.Tenant{QuotaPerSecond: t.QuotaPerS})
+	for _, account := range j.Accounts {
+		settings.Tenants = append(settings.Tenants, policy.Tenant{QuotaPerSecond: account.QuotaPerS})
 	}
-	if math.IsNaN(s.OverQuotaValueShare) {
-		return s, fmt.Errorf("settings: OverShareWorth: not a number")
+	if math.IsNaN(settings.OverQuotaValueShare) {
+		return settings, fmt.Errorf("settings: OverShareWorth: not a number")
 	}
-	return s, nil
+	return settings, nil
 }
 
-var effects = map[string]policy.Idempotency{
+var idempotencyByName = map[string]policy.Idempotency{
 	"pure": policy.Idempotent, "token": policy.IdempotentByKey, "side_effect": policy.NonIdempotent, "": policy.NonIdempotent,
 }
 
 // An absent scope is the narrowest.
-var scopes = map[string]policy.DedupScope{
+var dedupScopeByName = map[string]policy.DedupScope{
 	"all": policy.DedupAllServers, "zone": policy.DedupZone, "cell": policy.DedupCell, "": policy.DedupCell,
 }
 
-func word[T any](w string, words map[string]T) (T, bool) {
-	v, ok := words[w]
-	return v, ok
+func lookUp[T any](name string, values map[string]T) (T, bool) {
+	value, ok := values[name]
+	return value, ok
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -15,7 +15,7 @@
 	"otterstep/policy"
 )
 
-func unhex(t testing.TB, text string) []byte {
+func decodeHex(t testing.TB, text string) []byte {
 	t.Helper()
 	raw, err := hex.DecodeString(strings.ReplaceAll(text, " ", ""))
 	if err != nil {
@@ -25,14 +25,14 @@
 }
 
 // record pads an event record to its size.
-func record(t testing.TB, text string) []byte {
-	raw := unhex(t, text)
-	return append(raw, make([]byte, eventSize-len(raw))...)
+func eventRecord(t testing.TB, text string) []byte {
+	raw := decodeHex(t, text)
+	return append(raw, make([]byte, eventBytes-len(raw))...)
 }
 
 // frame builds a batch at 8,500 ms with number 12.
-func frame(count int, records, tail []byte) []byte {
-	head := make([]byte, batchHeader)
+func batchFrame(count int, records, tail []byte) []byte {
+	head := make([]byte, batchHeaderBytes)
 	binary.BigEndian.PutUint32(head[0:], uint32(len(records)+len(tail)))
 	binary.BigEndian.PutUint64(head[4:], math.Float64bits(8500))
 	binary.BigEndian.PutUint32(head[12:], uint32(count))
@@ -52,7 +52,7 @@
 		}
 		for i := range b.Count {
 			var e Event
-			if err := b.Event(i, &e); err != nil {
+			if err := b.DecodeEvent(i, &e); err != nil {
 				return events, err
 			}
 			events = append(events, e)
@@ -61,23 +61,23 @@
 }
 
 func TestDecodesEvents(t *testing.T) {
-	raw := frame(8, join(
-		record(t, "0b 0003"),
-		record(t, "03 5d3a91c4 00 0001 91f03b7c55d20a64 406e000000000000 4028000000000000 01"),
-		record(t, "07 000000000000004d"),
-		record(t, "02 02 0000000000000029 00000000 00000002"),
-		record(t, "05 5d3a91c4 00c8 01 0a124a07 1f93 0000 4032800000000000"),
-		record(t, "06 0e6f2b19"),
-		record(t, "04 5d3a91c4 0002 4022800000000000 0a124a07 1f93"),
-		record(t, "0a"),
-	), unhex(t, "0a124a07 1f93 0001 0000 0002 01 3f800000 0000000000000000"+
+	raw := batchFrame(8, join(
+		eventRecord(t, "0b 0003"),
+		eventRecord(t, "03 5d3a91c4 00 0001 91f03b7c55d20a64 406e000000000000 4028000000000000 01"),
+		eventRecord(t, "07 000000000000004d"),
+		eventRecord(t, "02 02 0000000000000029 00000000 00000002"),
+		eventRecord(t, "05 5d3a91c4 00c8 01 0a124a07 1f93 0000 4032800000000000"),
+		eventRecord(t, "06 0e6f2b19"),
+		eventRecord(t, "04 5d3a91c4 0002 4022800000000000 0a124a07 1f93"),
+		eventRecord(t, "0a"),
+	), decodeHex(t, "0a124a07 1f93 0001 0000 0002 01 3f800000 0000000000000000"+
 		"0a9011f2 1fbc 0000 0000 0000 02 3fc00000 40b7d40000000000"))
 	events, err := decodeAll(raw)
 	if !errors.Is(err, io.EOF) || errors.Is(err, ErrFormat) {
 		t.Fatalf("ends with %v, want a clean end", err)
 	}
-	if events[0].Instance != 3 || events[2].Token != 0x4d || events[7].Code != Stop {
-		t.Fatalf("instance %d, token %d, last code %d", events[0].Instance, events[2].Token, events[7].Code)
+	if events[0].Instance != 3 || events[2].TimerToken != 0x4d || events[7].Code != EventStop {
+		t.Fatalf("instance %d, token %d, last code %d", events[0].Instance, events[2].TimerToken, events[7].Code)
 	}
 	wantRequest := policy.Request{ID: 0x5d3a91c4, Tenant: 1, Key: 0x91f03b7c55d20a64,
 		TimeLeft: 240 * time.Millisecond, WorkHint: 12 * time.Millisecond}
@@ -90,9 +90,9 @@
 		{Server: server, Zone: 1, Cell: 2, State: policy.StateInService, Weight: 1},
 		{Server: 0x0a9011f21fbc, State: policy.StateDraining, Weight: 1.5, StartedAt: 6100 * time.Millisecond},
 	}
-	if list.Kind != policy.ListCached || len(list.Entries) != 2 || list.Entries[0] != want[0] ||
+	if list.ListKind != policy.ListCached || len(list.Entries) != 2 || list.Entries[0] != want[0] ||
 		list.Entries[1] != want[1] {
-		t.Errorf("list %d %+v, want %+v", list.Kind, list.Entries, want)
+		t.Errorf("list %d %+v, want %+v", list.ListKind, list.Entries, want)
 	}
 	wantOutcome := policy.Outcome{ID: 0x5d3a91c4, Server: server, Status: policy.OK, RequestDone: true,
 		Latency: 18500 * time.Microsecond}
@@ -109,11 +109,11 @@
 	var r Reply
 	r.Reset()
 	const server = policy.ServerID(0x0a124a071f93)
-	r.For(3)
+	r.SetInstance(3)
 	r.Send(0x5d3a91c4, server, 80*time.Millisecond)
 	r.SetTimer(8400*time.Millisecond, 0x4d)
 	r.Cancel(0x5d3a91c4, 1)
-	r.For(5)
+	r.SetInstance(5)
 	r.Refuse(0x0e6f2b19, 250*time.Millisecond, policy.Overload)
 	r.Fail(7, policy.NoRetry)
 	r.StartCall(policy.Call{})
@@ -123,10 +123,10 @@
 		t.Fatal(err)
 	}
 	pad := func(text string) []byte {
-		raw := unhex(t, text)
-		return append(raw, make([]byte, actionSize-len(raw))...)
+		raw := decodeHex(t, text)
+		return append(raw, make([]byte, actionBytes-len(raw))...)
 	}
-	want := join(unhex(t, "00000009 000000de 0000000c"),
+	want := join(decodeHex(t, "00000009 000000de 0000000c"),
 		pad("44 0003"), pad("42 5d3a91c4 0a124a07 1f93 4054000000000000"),
 		pad("48 40c0680000000000 000000000000004d"),
 		pad("41 5d3a91c4 0001"), pad("44 0005"), pad("47 0e6f2b19 406f400000000000"), pad("49 00000007"),
@@ -138,43 +138,43 @@
 
 // Each malformed frame must give one plain error with its batch, and no panic.
 var malformed = map[string]func(testing.TB) []byte{
-	"truncated header":    func(testing.TB) []byte { return frame(0, nil, nil)[:7] },
-	"truncated body":      func(t testing.TB) []byte { return frame(1, record(t, "0b 0003"), nil)[:40] },
-	"huge claimed length": func(testing.TB) []byte { f := frame(0, nil, nil); f[0] = 0xff; return f },
-	"long claimed length": func(testing.TB) []byte { f := frame(0, nil, nil); f[0] = 0x30; return f },
+	"truncated header":    func(testing.TB) []byte { return batchFrame(0, nil, nil)[:7] },
+	"truncated body":      func(t testing.TB) []byte { return batchFrame(1, eventRecord(t, "0b 0003"), nil)[:40] },
+	"huge claimed length": func(testing.TB) []byte { f := batchFrame(0, nil, nil); f[0] = 0xff; return f },
+	"long claimed length": func(testing.TB) []byte { f := batchFrame(0, nil, nil); f[0] = 0x30; return f },
 	"more records than bytes": func(t testing.TB) []byte {
-		return frame(9, record(t, "0b 0003"), nil)
+		return batchFrame(9, eventRecord(t, "0b 0003"), nil)
 	},
-	"unknown event": func(t testing.TB) []byte { return frame(1, record(t, "63"), nil) },
+	"unknown event": func(t testing.TB) []byte { return batchFrame(1, eventRecord(t, "63"), nil) },
 	"settings out of the tail": func(t testing.TB) []byte {
-		return frame(1, record(t, "01 0000000000000001 00000000 00000009"), []byte("{}"))
+		return batchFrame(1, eventRecord(t, "01 0000000000000001 00000000 00000009"), []byte("{}"))
 	},
 	"entries out of the tail": func(t testing.TB) []byte {
-		return frame(1, record(t, "02 01 0000000000000001 fffffff0 ffffffff"), nil)
+		return batchFrame(1, eventRecord(t, "02 01 0000000000000001 fffffff0 ffffffff"), nil)
 	},
-	"unknown list kind": func(t testing.TB) []byte { return frame(1, record(t, "02 09"), nil) },
-	"unknown status":    func(t testing.TB) []byte { return frame(1, record(t, "05 5d3a91c4 0001"), nil) },
+	"unknown list kind": func(t testing.TB) []byte { return batchFrame(1, eventRecord(t, "02 09"), nil) },
+	"unknown status":    func(t testing.TB) []byte { return batchFrame(1, eventRecord(t, "05 5d3a91c4 0001"), nil) },
 	"latency not a number": func(t testing.TB) []byte {
-		return frame(1, record(t, "05 5d3a91c4 00c8 01 0a124a07 1f93 0000 7ff8000000000001"), nil)
+		return batchFrame(1, eventRecord(t, "05 5d3a91c4 00c8 01 0a124a07 1f93 0000 7ff8000000000001"), nil)
 	},
 	"time left not finite": func(t testing.TB) []byte {
-		return frame(1, record(t, "03 5d3a91c4 00 0000 91f03b7c55d20a64 7ff0000000000000"), nil)
+		return batchFrame(1, eventRecord(t, "03 5d3a91c4 00 0000 91f03b7c55d20a64 7ff0000000000000"), nil)
 	},
 	"message out of the tail": func(t testing.TB) []byte {
-		return frame(1, record(t, "09 00000002 00000000 00000004"), nil)
+		return batchFrame(1, eventRecord(t, "09 00000002 00000000 00000004"), nil)
 	},
-	"clock not a number": func(testing.TB) []byte { f := frame(0, nil, nil); f[4], f[5] = 0x7f, 0xf8; return f },
+	"clock not a number": func(testing.TB) []byte { f := batchFrame(0, nil, nil); f[4], f[5] = 0x7f, 0xf8; return f },
 	"unknown server state": func(t testing.TB) []byte {
-		return frame(1, record(t, "02 01 0000000000000001 00000000 00000001"),
-			unhex(t, "0a124a07 1f93 0000 0000 0000 07 3f800000 0000000000000000"))
+		return batchFrame(1, eventRecord(t, "02 01 0000000000000001 00000000 00000001"),
+			decodeHex(t, "0a124a07 1f93 0000 0000 0000 07 3f800000 0000000000000000"))
 	},
 	"weight not a number": func(t testing.TB) []byte {
-		return frame(1, record(t, "02 01 0000000000000001 00000000 00000001"),
-			unhex(t, "0a124a07 1f93 0000 0000 0000 01 7fc00000 0000000000000000"))
+		return batchFrame(1, eventRecord(t, "02 01 0000000000000001 00000000 00000001"),
+			decodeHex(t, "0a124a07 1f93 0000 0000 0000 01 7fc00000 0000000000000000"))
 	},
 }
 
-func TestMalformedFramesGiveAPlainError(t *testing.T) {
+func TestMalformedFramesGiveAOneLineError(t *testing.T) {
 	for name, build := range malformed {
 		t.Run(name, func(t *testing.T) {
 			_, err := decodeAll(build(t))
@@ -190,7 +190,7 @@
 	for _, build := range malformed {
 		f.Add(build(f))
 	}
-	f.Add(frame(2, join(record(f, "0b 0003"), record(f, "07 000000000000004d")), nil))
+	f.Add(batchFrame(2, join(eventRecord(f, "0b 0003"), eventRecord(f, "07 000000000000004d")), nil))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if _, err := decodeAll(raw); err == nil {
 			t.Fatal("an input that ends must give an error or io.EOF")
@@ -199,7 +199,7 @@
 }
 
 func TestParseSettings(t *testing.T) {
-	s, err := ParseSettings([]byte(`{"Balancers": 2, "Me": 1, "Locality": 1, "CountedBy": "work",
+	settings, err := ParseSettings([]byte(`{"Balancers": 2, "Me": 1, "Locality": 1, "CountedBy": "work",
 		"RegistryMode": "on_request",
 		"Accounts": [{"Name": "a", "QuotaPerS": 84.0}], "OverShareWorth": 0.05, "Extra": {"WarmKeys": true},
 		"Novel": {"x": []},
@@ -214,33 +214,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := s.Classes[0]
-	if s.NodeCount != 2 || s.NodeIndex != 1 || s.Zone != 1 || !s.ValueByWork || !s.ListOnRequest || !s.KeyAffinity ||
-		s.OverQuotaValueShare != 0.05 ||
-		s.Tenants[0].QuotaPerSecond != 84 || c.Idempotency != policy.IdempotentByKey || c.DedupScope != policy.DedupZone ||
-		c.DedupWindow != 5*time.Second || c.LatencyTarget != 580*time.Millisecond || c.LateValueShare != 0.5 || !c.Streaming ||
-		c.TargetWorkFactor != 4 ||
-		s.Limits != (policy.Limits{MaxAttempts: 4, AllowHedging: true, AllowCancel: true,
+	class := settings.Classes[0]
+	if settings.NodeCount != 2 || settings.NodeIndex != 1 || settings.Zone != 1 || !settings.ValueByWork || !settings.ListOnRequest || !settings.KeyAffinity ||
+		settings.OverQuotaValueShare != 0.05 ||
+		settings.Tenants[0].QuotaPerSecond != 84 || class.Idempotency != policy.IdempotentByKey || class.DedupScope != policy.DedupZone ||
+		class.DedupWindow != 5*time.Second || class.LatencyTarget != 580*time.Millisecond || class.LateValueShare != 0.5 || !class.Streaming ||
+		class.TargetWorkFactor != 4 ||
+		settings.Limits != (policy.Limits{MaxAttempts: 4, AllowHedging: true, AllowCancel: true,
 			MaxRetryAfter: 600 * time.Millisecond}) ||
-		s.Penalties != (policy.Penalties{WastedWork: 0.2, LateFailure: 0.08}) ||
-		s.Rules.OverloadMultiple != 3 || s.Rules.ColdDuration != 8800*time.Millisecond || s.Rules.MaxCallInterval != 9*time.Second {
-		t.Errorf("settings %+v", s)
+		settings.Penalties != (policy.Penalties{WastedWork: 0.2, LateFailure: 0.08}) ||
+		settings.Rules.OverloadMultiple != 3 || settings.Rules.ColdDuration != 8800*time.Millisecond || settings.Rules.MaxCallInterval != 9*time.Second {
+		t.Errorf("settings %+v", settings)
 	}
-	if d := s.Classes[1]; d.Idempotency != policy.NonIdempotent || d.DedupScope != policy.DedupCell ||
-		d.LatencyTarget != d.Deadline || d.Value != 1 {
-		t.Errorf("class without most keys %+v: not the safe defaults", d)
+	if defaultClass := settings.Classes[1]; defaultClass.Idempotency != policy.NonIdempotent || defaultClass.DedupScope != policy.DedupCell ||
+		defaultClass.LatencyTarget != defaultClass.Deadline || defaultClass.Value != 1 {
+		t.Errorf("class without most keys %+v: not the safe defaults", defaultClass)
 	}
 }
 
 // A node that is not told its number must not pass for the first one: all such nodes would work
 // with the same servers.
-func TestNodeWithoutANumberHasNone(t *testing.T) {
-	s, err := ParseSettings([]byte(`{"Balancers": 300, "Classes": [{"DeadlineMs": 100}]}`))
+func TestNodeWithoutAnIndexGetsNone(t *testing.T) {
+	settings, err := ParseSettings([]byte(`{"Balancers": 300, "Classes": [{"DeadlineMs": 100}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.NodeCount != 300 || s.NodeIndex >= 0 {
-		t.Errorf("node %d of %d, want none", s.NodeIndex, s.NodeCount)
+	if settings.NodeCount != 300 || settings.NodeIndex >= 0 {
+		t.Errorf("node %d of %d, want none", settings.NodeIndex, settings.NodeCount)
 	}
 }
 
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -19,7 +19,7 @@
 	observer     Observer // or nil
 	rng          *rand.Rand
 	classes      []class
-	tenantQuotas []stats.Bucket
+	tenantQuotas []stats.TokenBucket
 
 	allNonIdempotent bool // no class may ever be repeated
 	hasZoneDedup     bool // there are classes whose repeats are bound to a zone,
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -65,7 +65,7 @@
 	b.typicalLatencySeconds = b.classes[0].meanUnloadedLatencySeconds.Value
 	for _, t := range settings.Tenants {
 		rate := t.QuotaPerSecond / float64(settings.NodeCount)
-		b.tenantQuotas = append(b.tenantQuotas, stats.Bucket{PerSecond: rate, Tokens: rate})
+		b.tenantQuotas = append(b.tenantQuotas, stats.TokenBucket{TokensPerSecond: rate, Tokens: rate})
 	}
 	return b, nil
 }
