--- a/cmd/otterstep/held_up_test.go
+++ b/cmd/otterstep/held_up_test.go
@@ -31,7 +31,7 @@
 	p.cmd.Process.Signal(syscall.SIGSTOP)
 	told := time.Now()
 	p.cmd.Process.Signal(syscall.SIGTERM)
-	time.Sleep(soakPause)
+	time.Sleep(soakPauseDuration)
 	p.cmd.Process.Signal(syscall.SIGCONT)
 	answered := make(chan error, 1)
 	for i := 0; time.Since(told) < asksAfter; i++ {
--- a/cmd/otterstep/late_discovery_test.go
+++ b/cmd/otterstep/late_discovery_test.go
@@ -68,12 +68,12 @@
 
 // allowed is how long after the instant a node may still send to servers that left.
 func (f lateFault) allowed() time.Duration {
-	told := toldAfter
+	told := maxListAge
 	switch {
 	case f.pushed:
 		told = f.lasts
 	case f.reload:
-		told = reloadAfter
+		told = maxAddressChangeDelay
 	case f.lasts > 0:
 		told += f.lasts
 	}
--- a/cmd/otterstep/restart_test.go
+++ b/cmd/otterstep/restart_test.go
@@ -225,8 +225,8 @@
 		if missent.Load() == before {
 			break
 		}
-		if time.Since(returned) > toldAfter {
-			t.Fatalf("a server that is gone is sent to %v after discovery's return", toldAfter)
+		if time.Since(returned) > maxListAge {
+			t.Fatalf("a server that is gone is sent to %v after discovery's return", maxListAge)
 		}
 	}
 	if d.CallCount() == 0 {
--- a/cmd/otterstep/signals_test.go
+++ b/cmd/otterstep/signals_test.go
@@ -124,7 +124,7 @@
 			began := time.Now()
 			p.cmd.Process.Signal(syscall.SIGHUP)
 			p.status(http.StatusOK)
-			if took := time.Since(began); took > reloadAfter || other.CallCount() == 0 {
+			if took := time.Since(began); took > maxAddressChangeDelay || other.CallCount() == 0 {
 				t.Errorf("ready %v after the new configuration, %d calls to the address that it names", took, other.CallCount())
 			}
 			if !ask(&p.client, p.addr, 1) {
@@ -162,7 +162,7 @@
 				}
 			}
 			p.client.CloseIdleConnections()
-			p.endsWell(2500*time.Millisecond + 700*time.Millisecond + soakSlack)
+			p.endsWell(2500*time.Millisecond + 700*time.Millisecond + soakSchedulingSlack)
 		})
 	}
 }
@@ -202,7 +202,7 @@
 				ask(&p.client, p.addr, i) // one whose attempt is withdrawn as its server leaves may be refused
 			}
 			p.discovery.SetFault(nil)
-			told := time.Now().Add(drainGrace + soakSlack)
+			told := time.Now().Add(drainGrace + soakSchedulingSlack)
 			served := 0
 			for i := 1_000_000; time.Now().Before(told.Add(time.Second)); i++ { // an id is taken once
 				left.Store(time.Now().After(told))
--- a/cmd/otterstep/soak_resources_test.go
+++ b/cmd/otterstep/soak_resources_test.go
@@ -10,20 +10,20 @@
 // What one process may take. The limit of memory is that of its configuration; a program that is built to
 // find races takes some times as much.
 const (
-	soakMemoryMB   = 192
-	soakSockets    = 256
-	soakGoroutines = 4 * soakSockets
+	soakMemoryLimitMB  = 192
+	soakSocketLimit    = 256
+	soakGoroutineLimit = 4 * soakSocketLimit
 )
 
 // soakPeak is the most that the processes of a seed took.
-type soakPeak struct {
+type soakPeakUsage struct {
 	residentMB  int
 	descriptors int
 	goroutines  int // of those that dumped them
 }
 
 // String words it.
-func (p soakPeak) String() string {
+func (p soakPeakUsage) String() string {
 	return fmt.Sprintf("at most %d MB, %d descriptors, %d goroutines", p.residentMB, p.descriptors, p.goroutines)
 }
 
@@ -34,19 +34,19 @@
 	n.mu.Unlock()
 	resident, err := residentMB(pid)
 	if err != nil {
-		n.w.t.Error(err)
+		n.env.t.Error(err)
 		return
 	}
 	descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
-		n.w.t.Error(err)
+		n.env.t.Error(err)
 		return
 	}
 	n.peak.residentMB = max(n.peak.residentMB, resident)
 	n.peak.descriptors = max(n.peak.descriptors, len(descriptors))
-	n.w.note("the process holds %d MB and %d descriptors", resident, len(descriptors))
-	if resident > soakMemoryMB || len(descriptors) > soakSockets {
-		n.w.problem(breakResources, "the process holds %d MB and %d descriptors", resident, len(descriptors))
+	n.env.recordEvent("the process holds %d MB and %d descriptors", resident, len(descriptors))
+	if resident > soakMemoryLimitMB || len(descriptors) > soakSocketLimit {
+		n.env.recordViolation(violationResources, "the process holds %d MB and %d descriptors", resident, len(descriptors))
 	}
 }
 
@@ -58,8 +58,8 @@
 	}
 	for line := range strings.Lines(string(text)) {
 		if fields := strings.Fields(line); len(fields) == 3 && fields[0] == "VmRSS:" {
-			kilobytes, err := strconv.Atoi(fields[1])
-			return kilobytes >> 10, err
+			residentKiB, err := strconv.Atoi(fields[1])
+			return residentKiB >> 10, err
 		}
 	}
 	return 0, fmt.Errorf("process %d tells no VmRSS", pid)
--- a/cmd/otterstep/soak_written_test.go
+++ b/cmd/otterstep/soak_written_test.go
@@ -10,216 +10,216 @@
 const (
 	// catchUpAfter is how long an address has to list a server in service, which another one has told to be
 	// out, before that counts.
-	catchUpAfter = 60 * time.Second
+	maxCatchUpTime = 60 * time.Second
 
 	// writtenUnsure is how long before the end of a connection what was written to it may not have been read:
 	// the process may be held up.
-	writtenUnsure = soakPause + 100*time.Millisecond
+	maxUnreadTime = soakPauseDuration + 100*time.Millisecond
 )
 
 // soakLinkState is the state of the link to an address, as far as it matters for what is written.
 type soakLinkState struct {
-	faulty bool
-	since  time.Time
+	isFaulty bool
+	since    time.Time
 }
 
 // soakWritten is what the addresses of discovery have written to one process. It tells whether the process
 // may send to a server by that alone: whatever it was told of a server's life, it was told.
-type soakWritten struct {
-	began      time.Time    // the process
-	present    *soakAddress // that its configuration names
-	movedAt    time.Time    // when it named it
-	words      map[string][]soakWord
-	links      map[int]soakLinkState
-	confirmed  bool // a whole message was written
-	knownBegan map[string]int64
+type deliveryChecker struct {
+	processStartedAt time.Time    // the process
+	configured       *soakAddress // that its configuration names
+	addressChangedAt time.Time    // when it named it
+	entries          map[string][]writtenEntry
+	linkStates       map[int]soakLinkState
+	isConfirmed      bool // a whole message was written
+	knownBootMs      map[string]int64
 }
 
 // newSoakWritten begins with a process, and the list of its configuration.
-func newSoakWritten(at time.Time, present *soakAddress, known standin.List) soakWritten {
-	w := soakWritten{
-		began: at, present: present, movedAt: at,
-		words: map[string][]soakWord{}, links: map[int]soakLinkState{}, knownBegan: map[string]int64{},
+func newDeliveryChecker(at time.Time, configured *soakAddress, knownList standin.List) deliveryChecker {
+	c := deliveryChecker{
+		processStartedAt: at, configured: configured, addressChangedAt: at,
+		entries: map[string][]writtenEntry{}, linkStates: map[int]soakLinkState{}, knownBootMs: map[string]int64{},
 	}
-	for _, line := range known.Entries {
-		w.knownBegan[line.UID] = line.BootMs
+	for _, entry := range knownList.Entries {
+		c.knownBootMs[entry.UID] = entry.BootMs
 	}
-	return w
+	return c
 }
 
 // moved notes that the configuration names another address. What was written just before may not be read.
-func (w *soakWritten) moved(next *soakAddress, at time.Time) {
-	w.doubt(func(word soakWord) bool { return !word.at.Before(at.Add(-writtenUnsure)) })
-	w.present, w.movedAt = next, at
+func (c *deliveryChecker) recordAddressChange(next *soakAddress, at time.Time) {
+	c.markMayBeLost(func(entry writtenEntry) bool { return !entry.writtenAt.Before(at.Add(-maxUnreadTime)) })
+	c.configured, c.addressChangedAt = next, at
 }
 
 // linkChanges notes what a link does from now on. What was written to it just before may not arrive.
-func (w *soakWritten) linkChanges(address *soakAddress, fault standin.LinkFault, at time.Time) {
-	if w.links == nil {
+func (c *deliveryChecker) recordLinkChange(address *soakAddress, fault standin.LinkFault, at time.Time) {
+	if c.linkStates == nil {
 		return // no process yet
 	}
-	w.links[address.number] = soakLinkState{faulty: fault != standin.LinkHealthy, since: at}
-	w.doubt(func(word soakWord) bool {
-		return word.source.address == address.number && !word.at.Before(at.Add(-writtenUnsure))
+	c.linkStates[address.number] = soakLinkState{isFaulty: fault != standin.LinkHealthy, since: at}
+	c.markMayBeLost(func(entry writtenEntry) bool {
+		return entry.source.addressNumber == address.number && !entry.writtenAt.Before(at.Add(-maxUnreadTime))
 	})
 }
 
 // abandoned notes that the process left a call before the message was whole: it may not have read the last
 // of it.
-func (w *soakWritten) abandoned(address, call int, at time.Time) {
-	w.doubt(func(word soakWord) bool {
-		return word.source.address == address && word.call == call && !word.at.Before(at.Add(-writtenUnsure))
+func (c *deliveryChecker) recordAbandoned(addressNumber, callNumber int, at time.Time) {
+	c.markMayBeLost(func(entry writtenEntry) bool {
+		return entry.source.addressNumber == addressNumber && entry.callNumber == callNumber && !entry.writtenAt.Before(at.Add(-maxUnreadTime))
 	})
 }
 
 // doubt makes words unsure.
-func (w *soakWritten) doubt(unsure func(soakWord) bool) {
-	for _, words := range w.words {
-		for i, word := range words {
-			words[i].unsure = word.unsure || unsure(word)
+func (c *deliveryChecker) markMayBeLost(mayBeLost func(writtenEntry) bool) {
+	for _, entries := range c.entries {
+		for i, entry := range entries {
+			entries[i].mayBeLost = entry.mayBeLost || mayBeLost(entry)
 		}
 	}
 }
 
 // concerns tells whether an answer is to a call of this process.
-func (w *soakWritten) concerns(answer *standin.Answer) bool {
-	return w.words != nil && !answer.CalledAt.Before(w.began)
+func (c *deliveryChecker) isForProcess(answer *standin.Answer) bool {
+	return c.entries != nil && !answer.CalledAt.Before(c.processStartedAt)
 }
 
 // arrives tells whether what is written to an answer is sure to reach the process.
-func (w *soakWritten) arrives(address *soakAddress, answer *standin.Answer) bool {
-	link := w.links[address.number]
-	return address == w.present && !link.faulty && answer.FirstByteAt.After(link.since)
+func (c *deliveryChecker) isSureToArrive(address *soakAddress, answer *standin.Answer) bool {
+	link := c.linkStates[address.number]
+	return address == c.configured && !link.isFaulty && answer.FirstByteAt.After(link.since)
 }
 
 // completing takes in what a message puts into service, before its end is written: it counts when the
 // message is whole.
-func (w *soakWritten) completing(address *soakAddress, answer *standin.Answer, at time.Time) {
-	w.confirmed = true
-	for _, line := range answer.List.Entries {
-		if !leaves(line) {
-			w.say(line.UID, w.word(address, answer, line.BootMs, false, at))
+func (c *deliveryChecker) recordCompleting(address *soakAddress, answer *standin.Answer, at time.Time) {
+	c.isConfirmed = true
+	for _, entry := range answer.List.Entries {
+		if !isOutOfService(entry) {
+			c.addEntry(entry.UID, c.entryOf(address, answer, entry.BootMs, false, at))
 		}
 	}
 }
 
 // wrote takes in what lines that were written take out of service; those of a whole list also what they do
 // not name.
-func (w *soakWritten) wrote(address *soakAddress, answer *standin.Answer, lines []standin.Entry, whole bool, at time.Time) {
-	for _, line := range lines {
-		if leaves(line) {
-			w.say(line.UID, w.word(address, answer, line.BootMs, true, at))
+func (c *deliveryChecker) recordWritten(address *soakAddress, answer *standin.Answer, entries []standin.Entry, complete bool, at time.Time) {
+	for _, entry := range entries {
+		if isOutOfService(entry) {
+			c.addEntry(entry.UID, c.entryOf(address, answer, entry.BootMs, true, at))
 		}
 	}
-	if !whole || !answer.List.IsWhole {
+	if !complete || !answer.List.IsWhole {
 		return
 	}
-	named := map[string]bool{}
-	for _, line := range answer.List.Entries {
-		named[line.UID] = true
+	isNamed := map[string]bool{}
+	for _, entry := range answer.List.Entries {
+		isNamed[entry.UID] = true
 	}
-	for i := range soakServers {
-		if uid := soakUID(i); !named[uid] {
-			w.say(uid, w.word(address, answer, unnamed, true, at))
+	for i := range soakServerCount {
+		if uid := soakServerUID(i); !isNamed[uid] {
+			c.addEntry(uid, c.entryOf(address, answer, unlistedBootMs, true, at))
 		}
 	}
 }
 
 // word is what an answer says of a server.
-func (w *soakWritten) word(address *soakAddress, answer *standin.Answer, bootMs int64, out bool, at time.Time) soakWord {
-	return soakWord{
-		at: at, source: soakSource{address: address.number, counter: answer.VersionRestarts}, call: answer.CallNumber,
-		version: answer.List.Version, bootMs: bootMs, out: out, unsure: !w.arrives(address, answer),
+func (c *deliveryChecker) entryOf(address *soakAddress, answer *standin.Answer, bootMs int64, isOut bool, at time.Time) writtenEntry {
+	return writtenEntry{
+		writtenAt: at, source: soakSource{addressNumber: address.number, versionRestarts: answer.VersionRestarts}, callNumber: answer.CallNumber,
+		version: answer.List.Version, bootMs: bootMs, isOut: isOut, mayBeLost: !c.isSureToArrive(address, answer),
 	}
 }
 
 // say takes a word in, unless it repeats the latest of its server.
-func (w *soakWritten) say(uid string, word soakWord) {
-	words := w.words[uid]
-	if len(words) > 0 {
-		last := words[len(words)-1]
-		same := last.source == word.source && last.version == word.version && last.bootMs == word.bootMs
-		if same && last.out == word.out && !word.out {
+func (c *deliveryChecker) addEntry(uid string, entry writtenEntry) {
+	entries := c.entries[uid]
+	if len(entries) > 0 {
+		last := entries[len(entries)-1]
+		isSame := last.source == entry.source && last.version == entry.version && last.bootMs == entry.bootMs
+		if isSame && last.isOut == entry.isOut && !entry.isOut {
 			return
 		}
 	}
-	w.words[uid] = append(words, word)
+	c.entries[uid] = append(entries, entry)
 }
 
 // life is the latest start of a server that the process was told of, with what it was told.
-func (w *soakWritten) life(uid string) *soakLife {
-	life := newSoakLife(unnamed)
-	if bootMs, known := w.knownBegan[uid]; known {
-		life.bootMs, life.sure = bootMs, true
+func (c *deliveryChecker) latestIncarnation(uid string) *soakIncarnation {
+	incarnation := newSoakIncarnation(unlistedBootMs)
+	if bootMs, isKnown := c.knownBootMs[uid]; isKnown {
+		incarnation.bootMs, incarnation.isReceived = bootMs, true
 	}
-	for _, word := range w.words[uid] {
+	for _, entry := range c.entries[uid] {
 		switch {
-		case word.bootMs == unnamed && !life.sure:
+		case entry.bootMs == unlistedBootMs && !incarnation.isReceived:
 			continue // of a server that it may never have heard of
-		case word.bootMs == unnamed:
-			word.bootMs = life.bootMs
-		case word.bootMs < life.bootMs:
+		case entry.bootMs == unlistedBootMs:
+			entry.bootMs = incarnation.bootMs
+		case entry.bootMs < incarnation.bootMs:
 			continue
-		case word.bootMs > life.bootMs && word.out && word.unsure:
+		case entry.bootMs > incarnation.bootMs && entry.isOut && entry.mayBeLost:
 			continue
-		case word.bootMs > life.bootMs:
-			life = newSoakLife(word.bootMs)
+		case entry.bootMs > incarnation.bootMs:
+			incarnation = newSoakIncarnation(entry.bootMs)
 		}
-		life.take(word)
+		incarnation.applyEntry(entry)
 	}
-	return life
+	return incarnation
 }
 
 // forbids tells whether the process may not have sent to a server at a time, by what it had been told, and
 // who told it. What puts the server back counts up to the present.
-func (w *soakWritten) forbids(uid string, sent, now time.Time) (why string, forbidden bool) {
-	life := w.life(uid)
-	if !life.out || !sent.After(life.outAt.Add(drainGrace+soakSlack)) {
+func (c *deliveryChecker) forbidsSend(uid string, sentAt, now time.Time) (reason string, isForbidden bool) {
+	incarnation := c.latestIncarnation(uid)
+	if !incarnation.isOut || !sentAt.After(incarnation.firstOutAt.Add(drainGrace+soakSchedulingSlack)) {
 		return "", false
 	}
-	since := life.lastOut
-	if w.movedAt.After(since) {
-		since = w.movedAt
+	since := incarnation.lastOutAt
+	if c.addressChangedAt.After(since) {
+		since = c.addressChangedAt
 	}
-	if life.listedBy == w.present.number && now.Sub(since) > catchUpAfter {
+	if incarnation.listedByAddress == c.configured.number && now.Sub(since) > maxCatchUpTime {
 		return "", false
 	}
-	why = fmt.Sprintf("start %d, since %s", life.bootMs, life.outAt.UTC().Format("15:04:05.000"))
-	for address, word := range life.outBy {
-		why += fmt.Sprintf(", by address %d in version %d, call %d", address, word.version, word.call)
+	reason = fmt.Sprintf("start %d, since %s", incarnation.bootMs, incarnation.firstOutAt.UTC().Format("15:04:05.000"))
+	for address, notice := range incarnation.noticeByAddress {
+		reason += fmt.Sprintf(", by address %d in version %d, call %d", address, notice.version, notice.callNumber)
 	}
-	return why, true
+	return reason, true
 }
 
 // soakObserver takes note of what an address of discovery writes.
 type soakObserver struct {
-	w       *soakWorld
+	env     *soakEnvironment
 	address *soakAddress
 }
 
 // Completing implements standin.AnswerObserver.
 func (o *soakObserver) Completing(answer *standin.Answer) {
-	o.w.mu.Lock()
-	defer o.w.mu.Unlock()
-	if o.w.written.concerns(answer) {
-		o.w.written.completing(o.address, answer, time.Now())
+	o.env.mu.Lock()
+	defer o.env.mu.Unlock()
+	if o.env.deliveries.isForProcess(answer) {
+		o.env.deliveries.recordCompleting(o.address, answer, time.Now())
 	}
 }
 
 // Wrote implements standin.AnswerObserver.
-func (o *soakObserver) EntriesWritten(answer *standin.Answer, lines []standin.Entry, whole bool) {
-	o.w.mu.Lock()
-	defer o.w.mu.Unlock()
-	if o.w.written.concerns(answer) {
-		o.w.written.wrote(o.address, answer, lines, whole, time.Now())
+func (o *soakObserver) EntriesWritten(answer *standin.Answer, entries []standin.Entry, complete bool) {
+	o.env.mu.Lock()
+	defer o.env.mu.Unlock()
+	if o.env.deliveries.isForProcess(answer) {
+		o.env.deliveries.recordWritten(o.address, answer, entries, complete, time.Now())
 	}
 }
 
 // Abandoned implements standin.AnswerObserver.
 func (o *soakObserver) Abandoned(answer *standin.Answer) {
-	o.w.mu.Lock()
-	defer o.w.mu.Unlock()
-	if o.w.written.concerns(answer) {
-		o.w.written.abandoned(o.address.number, answer.CallNumber, time.Now())
+	o.env.mu.Lock()
+	defer o.env.mu.Unlock()
+	if o.env.deliveries.isForProcess(answer) {
+		o.env.deliveries.recordAbandoned(o.address.number, answer.CallNumber, time.Now())
 	}
 }
