--- a/cmd/otterstep/descriptors_test.go
+++ b/cmd/otterstep/descriptors_test.go
@@ -18,57 +18,57 @@
 // for clients while discovery is down, and the node follows it and serves at its return. The
 // program runs under the limit that its configuration names.
 func TestIdleClientsLeaveDescriptorsForDiscovery(t *testing.T) {
-	const sockets = 64
+	const socketLimit = 64
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.WriteString(w, r.Header.Get("X-Correlation-Id"))
 	}))
 	defer backend.Close()
-	free := func() string {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+	unusedAddr := func() string {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer l.Close()
-		return l.Addr().String()
+		defer listener.Close()
+		return listener.Addr().String()
 	}
-	addr, registry := free(), free() // nobody listens there so far
-	cmd := program(configFile(t, func(c map[string]any) {
-		c["listen"], c["discovery"] = addr, registry
-		c["limits"] = map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": sockets}
+	addr, discoveryAddr := unusedAddr(), unusedAddr() // nobody listens there so far
+	cmd := programCommand(writeConfig(t, func(c map[string]any) {
+		c["listen"], c["discovery"] = addr, discoveryAddr
+		c["limits"] = map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": socketLimit}
 	}))
-	limited := exec.Command("sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, sockets), os.Args[0])
-	limited.Env = cmd.Env
+	limitedCmd := exec.Command("sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, socketLimit), os.Args[0])
+	limitedCmd.Env = cmd.Env
 	var stderr bytes.Buffer
-	limited.Stderr = &stderr
-	if err := limited.Start(); err != nil {
+	limitedCmd.Stderr = &stderr
+	if err := limitedCmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	stop := func() { limited.Process.Kill(); limited.Wait() }
+	stop := func() { limitedCmd.Process.Kill(); limitedCmd.Wait() }
 	defer stop()
 
-	ask := func(c net.Conn) (code int, err error) {
-		if _, err := fmt.Fprintf(c, "POST /book/x HTTP/1.1\r\nHost: api\r\nX-Correlation-Id: %s\r\nX-Service-Class: book\r\n"+
-			"X-Time-Left: 1.0\r\nContent-Length: 1\r\n\r\nb", c.LocalAddr()); err != nil {
+	statusOf := func(conn net.Conn) (code int, err error) {
+		if _, err := fmt.Fprintf(conn, "POST /book/x HTTP/1.1\r\nHost: api\r\nX-Correlation-Id: %s\r\nX-Service-Class: book\r\n"+
+			"X-Time-Left: 1.0\r\nContent-Length: 1\r\n\r\nb", conn.LocalAddr()); err != nil {
 			return 0, err
 		}
-		c.SetReadDeadline(time.Now().Add(20 * time.Second))
-		var b [12]byte
-		if _, err := io.ReadFull(c, b[:]); err != nil {
+		conn.SetReadDeadline(time.Now().Add(20 * time.Second))
+		var statusLine [12]byte
+		if _, err := io.ReadFull(conn, statusLine[:]); err != nil {
 			return 0, err
 		}
-		_, err = fmt.Sscanf(string(b[:]), "HTTP/1.1 %d", &code)
+		_, err = fmt.Sscanf(string(statusLine[:]), "HTTP/1.1 %d", &code)
 		return code, err
 	}
-	patient := func(what string, is func() bool) {
+	awaitCondition := func(what string, condition func() bool) {
 		t.Helper()
-		for end := time.Now().Add(20 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
+		for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
 				stop()
 				t.Fatalf("no %s: %s", what, &stderr)
 			}
 		}
 	}
-	patient("node that is up", func() bool {
+	awaitCondition("node that is up", func() bool {
 		resp, err := http.Get("http://" + addr + "/up")
 		if err != nil {
 			return false
@@ -77,37 +77,37 @@
 		return resp.StatusCode == http.StatusOK
 	})
 	// Some have asked before they rest, the others never say a word.
-	for i := range 3 * sockets {
-		c, err := net.Dial("tcp", addr)
+	for i := range 3 * socketLimit {
+		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer conn.Close()
 		if i%8 == 0 {
-			if code, err := ask(c); err != nil || code != http.StatusServiceUnavailable {
+			if code, err := statusOf(conn); err != nil || code != http.StatusServiceUnavailable {
 				t.Fatalf("client %d: answered %d, %v with no server known; want 503", i, code, err)
 			}
 		}
 	}
 
 	// The last client's answer shows that all were taken in turn as far as they will be.
-	last, err := net.Dial("tcp", addr)
+	lastConn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer last.Close()
-	if code, err := ask(last); err != nil || code != http.StatusServiceUnavailable {
+	defer lastConn.Close()
+	if code, err := statusOf(lastConn); err != nil || code != http.StatusServiceUnavailable {
 		t.Fatalf("the last client: answered %d, %v; want 503", code, err)
 	}
-	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", limited.Process.Pid))
+	openDescriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", limitedCmd.Process.Pid))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(open) > sockets*2/3 {
-		t.Errorf("%d of %d descriptors are open while discovery is down and no server is known", len(open), sockets)
+	if len(openDescriptors) > socketLimit*2/3 {
+		t.Errorf("%d of %d descriptors are open while discovery is down and no server is known", len(openDescriptors), socketLimit)
 	}
 
-	l, err := net.Listen("tcp", registry)
+	listener, err := net.Listen("tcp", discoveryAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,16 +124,16 @@
 			backend.Listener.Addr())
 	}))
 	discovery.Listener.Close()
-	discovery.Listener = l
+	discovery.Listener = listener
 	discovery.Start()
 	defer discovery.Close()
-	patient("answer of a server", func() bool {
-		c, err := net.Dial("tcp", addr)
+	awaitCondition("answer of a server", func() bool {
+		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			return false
 		}
-		defer c.Close()
-		code, err := ask(c)
+		defer conn.Close()
+		code, err := statusOf(conn)
 		return err == nil && code == http.StatusOK
 	})
 	stop()
--- a/cmd/otterstep/late_discovery_test.go
+++ b/cmd/otterstep/late_discovery_test.go
@@ -32,290 +32,290 @@
 // makes the program as it was send to a server that left for longer than the rules allow, most of them for good.
 
 const (
-	lateNodes          = 3                      // for each fault, as chance decides where in a call it strikes
-	lateFleet          = 8                      // nodes of the fleet, by their settings
-	lateLeavers        = 12                     // servers that leave, of lateLeavers+1
-	lateGrace          = 300 * time.Millisecond // drain grace of the settings
-	lateSlack          = 50 * time.Millisecond  // that the rules add to each limit
-	lateConfigurations = 5
-	lateWatches        = 3 // that go on from one to the next before a fault that begins with one
+	nodesPerFault         = 3                      // for each fault, as chance decides where in a call it strikes
+	faultFleetSize        = 8                      // nodes of the fleet, by their settings
+	faultLeavingServers   = 12                     // servers that leave, of lateLeavers+1
+	faultDrainGrace       = 300 * time.Millisecond // drain grace of the settings
+	faultTolerance        = 50 * time.Millisecond  // that the rules add to each limit
+	configurationsPerNode = 5
+	watchesBeforeFault    = 3 // that go on from one to the next before a fault that begins with one
 
-	lateMachine = 250 * time.Millisecond // for a busy machine
-	lateSettle  = 1500 * time.Millisecond
+	faultSchedulingSlack = 250 * time.Millisecond // for a busy machine
+	watchSettleTime      = 1500 * time.Millisecond
 )
 
 // lateFault is something that happens to discovery at the instant at which servers leave.
-type lateFault struct {
-	name   string
-	fault  func() standin.Fault
-	lasts  time.Duration // 0: to the end
-	pushed bool          // lists are pushed by an agent; else one service is asked
-	reload bool          // new configurations come one after the other, with the fault
-	start  bool          // the nodes start with the fault, and with the list of before
+type discoveryFaultCase struct {
+	name        string
+	newFault    func() standin.Fault
+	duration    time.Duration // 0: to the end
+	isPushed    bool          // lists are pushed by an agent; else one service is asked
+	withReloads bool          // new configurations come one after the other, with the fault
+	atNodeStart bool          // the nodes start with the fault, and with the list of before
 
-	atWatch bool // it begins as a watch does: the next one would come as late as may be
+	atWatchStart bool // it begins as a watch does: the next one would come as late as may be
 }
 
 // always is a fault that strikes each call alike.
-func always(fault standin.Fault) func() standin.Fault {
+func everyCall(fault standin.Fault) func() standin.Fault {
 	return func() standin.Fault { return fault }
 }
 
 // allBut is a fault that strikes all calls of a node but every nth.
-func allBut(nth int, fault standin.Fault) func() standin.Fault {
+func allButEveryNth(nth int, fault standin.Fault) func() standin.Fault {
 	return func() standin.Fault { return standin.AllButEveryNth(nth, fault) }
 }
 
 // allowed is how long after the instant a node may still send to servers that left.
-func (f lateFault) allowed() time.Duration {
-	told := maxListAge
+func (c discoveryFaultCase) maxSendDelay() time.Duration {
+	maxNoticeDelay := maxListAge
 	switch {
-	case f.pushed:
-		told = f.lasts
-	case f.reload:
-		told = maxAddressChangeDelay
-	case f.lasts > 0:
-		told += f.lasts
+	case c.isPushed:
+		maxNoticeDelay = c.duration
+	case c.withReloads:
+		maxNoticeDelay = maxAddressChangeDelay
+	case c.duration > 0:
+		maxNoticeDelay += c.duration
 	}
-	return told + lateGrace + lateSlack + lateMachine
+	return maxNoticeDelay + faultDrainGrace + faultTolerance + faultSchedulingSlack
 }
 
-var lateFaults = []lateFault{
-	{name: "asked, calls come late by 2.5 s", fault: always(standin.DelayedCalls(2500 * time.Millisecond))},
-	{name: "asked, calls come late by 5 s", fault: always(standin.DelayedCalls(5 * time.Second))},
-	{name: "asked, answers come late by 2.5 s", fault: always(standin.DelayedAnswers(2500 * time.Millisecond))},
-	{name: "asked, answers come late by 4 s", fault: always(standin.DelayedAnswers(4 * time.Second))},
-	{name: "asked, answers come late by 5.5 s", fault: always(standin.DelayedAnswers(5500 * time.Millisecond))},
-	{name: "asked, refuses for 12 s", fault: always(standin.Unavailable), lasts: 12 * time.Second},
-	{name: "asked, resets for 75 s", fault: always(standin.Reset), lasts: 75 * time.Second},
-	{name: "asked, says nothing for 12 s", fault: always(standin.NoAnswer), lasts: 12 * time.Second},
-	{name: "asked, says nothing for 75 s", fault: always(standin.NoAnswer), lasts: 75 * time.Second},
-	{name: "asked, refuses after 2 s for 75 s", fault: always(standin.UnavailableAfter(2 * time.Second)), lasts: 75 * time.Second},
-	{name: "asked, refuses two of three calls", fault: allBut(3, standin.Unavailable)},
-	{name: "asked, cuts three of four answers", fault: allBut(4, standin.Truncated)},
-	{name: "asked, one of two calls dies", fault: allBut(2, standin.NoAnswer)},
-	{name: "asked, answers in pieces", fault: always(standin.Pieces(4, 700*time.Millisecond))},
-	{name: "asked, new configurations, late calls", reload: true, fault: always(standin.DelayedCalls(1200 * time.Millisecond))},
-	{name: "asked, new configurations, refuses for 1.5 s", reload: true, fault: always(standin.Unavailable), lasts: 1500 * time.Millisecond},
-	{name: "pushed, says nothing for 0.7 s", pushed: true, fault: always(standin.NoAnswer), lasts: 700 * time.Millisecond},
-	{name: "pushed, says nothing for 2 s", pushed: true, fault: always(standin.NoAnswer), lasts: 2 * time.Second},
-	{name: "pushed, says nothing for 6 s", pushed: true, fault: always(standin.NoAnswer), lasts: 6 * time.Second},
-	{name: "pushed, stalls for 4 s", pushed: true, fault: always(standin.Stalled), lasts: 4 * time.Second},
-	{name: "pushed, sends a head for 3 s", pushed: true, fault: always(standin.HeadersOnly), lasts: 3 * time.Second},
-	{name: "pushed, says nothing at the start for 7 s", pushed: true, start: true, fault: always(standin.NoAnswer), lasts: 7 * time.Second},
-	{name: "asked, says nothing at the start for 7 s", start: true, fault: always(standin.NoAnswer), lasts: 7 * time.Second},
+var discoveryFaultCases = []discoveryFaultCase{
+	{name: "asked, calls come late by 2.5 s", newFault: everyCall(standin.DelayedCalls(2500 * time.Millisecond))},
+	{name: "asked, calls come late by 5 s", newFault: everyCall(standin.DelayedCalls(5 * time.Second))},
+	{name: "asked, answers come late by 2.5 s", newFault: everyCall(standin.DelayedAnswers(2500 * time.Millisecond))},
+	{name: "asked, answers come late by 4 s", newFault: everyCall(standin.DelayedAnswers(4 * time.Second))},
+	{name: "asked, answers come late by 5.5 s", newFault: everyCall(standin.DelayedAnswers(5500 * time.Millisecond))},
+	{name: "asked, refuses for 12 s", newFault: everyCall(standin.Unavailable), duration: 12 * time.Second},
+	{name: "asked, resets for 75 s", newFault: everyCall(standin.Reset), duration: 75 * time.Second},
+	{name: "asked, says nothing for 12 s", newFault: everyCall(standin.NoAnswer), duration: 12 * time.Second},
+	{name: "asked, says nothing for 75 s", newFault: everyCall(standin.NoAnswer), duration: 75 * time.Second},
+	{name: "asked, refuses after 2 s for 75 s", newFault: everyCall(standin.UnavailableAfter(2 * time.Second)), duration: 75 * time.Second},
+	{name: "asked, refuses two of three calls", newFault: allButEveryNth(3, standin.Unavailable)},
+	{name: "asked, cuts three of four answers", newFault: allButEveryNth(4, standin.Truncated)},
+	{name: "asked, one of two calls dies", newFault: allButEveryNth(2, standin.NoAnswer)},
+	{name: "asked, answers in pieces", newFault: everyCall(standin.Pieces(4, 700*time.Millisecond))},
+	{name: "asked, new configurations, late calls", withReloads: true, newFault: everyCall(standin.DelayedCalls(1200 * time.Millisecond))},
+	{name: "asked, new configurations, refuses for 1.5 s", withReloads: true, newFault: everyCall(standin.Unavailable), duration: 1500 * time.Millisecond},
+	{name: "pushed, says nothing for 0.7 s", isPushed: true, newFault: everyCall(standin.NoAnswer), duration: 700 * time.Millisecond},
+	{name: "pushed, says nothing for 2 s", isPushed: true, newFault: everyCall(standin.NoAnswer), duration: 2 * time.Second},
+	{name: "pushed, says nothing for 6 s", isPushed: true, newFault: everyCall(standin.NoAnswer), duration: 6 * time.Second},
+	{name: "pushed, stalls for 4 s", isPushed: true, newFault: everyCall(standin.Stalled), duration: 4 * time.Second},
+	{name: "pushed, sends a head for 3 s", isPushed: true, newFault: everyCall(standin.HeadersOnly), duration: 3 * time.Second},
+	{name: "pushed, says nothing at the start for 7 s", isPushed: true, atNodeStart: true, newFault: everyCall(standin.NoAnswer), duration: 7 * time.Second},
+	{name: "asked, says nothing at the start for 7 s", atNodeStart: true, newFault: everyCall(standin.NoAnswer), duration: 7 * time.Second},
 }
 
 // lateNode is one process of the program, with a client that asks it all the time.
-type lateNode struct {
-	number int
-	addr   string
-	links  []*standin.Proxy // addresses of discovery, one for each configuration
-	config string
-	cmd    *exec.Cmd
-	client http.Client
+type loadedNode struct {
+	nodeIndex  int
+	addr       string
+	proxies    []*standin.Proxy // addresses of discovery, one for each configuration
+	configPath string
+	cmd        *exec.Cmd
+	client     http.Client
 }
 
 // lateFleetRun is some nodes before one discovery, from which most servers leave at an instant.
-type lateFleetRun struct {
+type discoveryFaultRun struct {
 	t           *testing.T
-	fault       lateFault
+	testCase    discoveryFaultCase
 	discoveries []*standin.Discovery // one for each node, so that a fault that counts calls strikes all alike
-	nodes       []*lateNode
+	nodes       []*loadedNode
 
-	known any // the list of before
+	knownList any // the list of before
 
-	mu     sync.Mutex
-	last   map[string]time.Time // latest request to a server that left, by node
-	struck map[string]time.Time // when the servers left and the fault began, by node
-	served atomic.Int64         // by the server that stays
+	mu              sync.Mutex
+	lastMisroutedAt map[string]time.Time // latest request to a server that left, by node
+	faultBeganAt    map[string]time.Time // when the servers left and the fault began, by node
+	served          atomic.Int64         // by the server that stays
 }
 
 // server is one address of servers; requests to those that leave are noted by their node.
-func (f *lateFleetRun) server(leaves bool) http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		id := r.Header.Get("X-Correlation-Id")
-		if leaves {
-			node, _, _ := strings.Cut(id, "-")
-			f.mu.Lock()
-			f.last[node] = time.Now()
-			f.mu.Unlock()
+func (r *discoveryFaultRun) serverHandler(leaving bool) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
+		id := request.Header.Get("X-Correlation-Id")
+		if leaving {
+			nodeName, _, _ := strings.Cut(id, "-")
+			r.mu.Lock()
+			r.lastMisroutedAt[nodeName] = time.Now()
+			r.mu.Unlock()
 		} else {
-			f.served.Add(1)
+			r.served.Add(1)
 		}
 		fmt.Fprint(w, id)
 	})
 }
 
 // start starts a node; its settings are those of a small fleet.
-func (f *lateFleetRun) start(number int) *lateNode {
-	n := &lateNode{number: number, addr: freeAddress(f.t), client: http.Client{Transport: &http.Transport{}}}
-	for range lateConfigurations {
-		n.links = append(n.links, startProxy(f.t, f.discoveries[number].Addr()))
+func (r *discoveryFaultRun) startNode(nodeIndex int) *loadedNode {
+	node := &loadedNode{nodeIndex: nodeIndex, addr: freeAddress(r.t), client: http.Client{Transport: &http.Transport{}}}
+	for range configurationsPerNode {
+		node.proxies = append(node.proxies, startProxy(r.t, r.discoveries[nodeIndex].Addr()))
 	}
 	mode := "on_request"
-	if f.fault.pushed {
+	if r.testCase.isPushed {
 		mode = "pushed"
 	}
-	n.config = configFile(f.t, func(c map[string]any) {
-		c["listen"], c["discovery"], c["known"] = n.addr, n.links[0].Addr(), f.known
+	node.configPath = writeConfig(r.t, func(c map[string]any) {
+		c["listen"], c["discovery"], c["known"] = node.addr, node.proxies[0].Addr(), r.knownList
 		c["settings"] = map[string]any{
-			"Balancers": lateFleet, "Me": number, "RegistryMode": mode, "Zones": []string{"a"},
+			"Balancers": faultFleetSize, "Me": nodeIndex, "RegistryMode": mode, "Zones": []string{"a"},
 			"Classes":  []any{map[string]any{"Name": "read", "DeadlineMs": 2000, "PromiseMs": 1000, "Effect": "pure"}},
-			"Contract": map[string]any{"MustAskInMs": 10000, "DrainGraceMs": lateGrace.Milliseconds()},
+			"Contract": map[string]any{"MustAskInMs": 10000, "DrainGraceMs": faultDrainGrace.Milliseconds()},
 			"Limits":   map[string]any{"MaxAttempts": 2},
 		}
 	})
-	n.cmd = program(n.config)
+	node.cmd = programCommand(node.configPath)
 	var log strings.Builder
-	n.cmd.Stderr = &log
-	if err := n.cmd.Start(); err != nil {
-		f.t.Fatal(err)
+	node.cmd.Stderr = &log
+	if err := node.cmd.Start(); err != nil {
+		r.t.Fatal(err)
 	}
-	f.nodes = append(f.nodes, n)
-	f.t.Cleanup(func() {
-		n.cmd.Process.Kill()
-		n.cmd.Wait()
-		n.client.CloseIdleConnections()
-		if f.t.Failed() {
+	r.nodes = append(r.nodes, node)
+	r.t.Cleanup(func() {
+		node.cmd.Process.Kill()
+		node.cmd.Wait()
+		node.client.CloseIdleConnections()
+		if r.t.Failed() {
 			text := log.String()
-			f.t.Logf("the log of n%d: %s", number, text[max(0, len(text)-3000):])
+			r.t.Logf("the log of n%d: %s", nodeIndex, text[max(0, len(text)-3000):])
 		}
 	})
-	return n
+	return node
 }
 
 // ask has a client ask a node over and over until the channel closes.
-func (f *lateFleetRun) ask(n *lateNode, over <-chan struct{}) {
+func (run *discoveryFaultRun) sendRequests(node *loadedNode, done <-chan struct{}) {
 	for i := 0; ; i++ {
 		select {
-		case <-over:
+		case <-done:
 			return
 		case <-time.After(10 * time.Millisecond):
 		}
-		r, err := http.NewRequest(http.MethodGet, "http://"+n.addr+"/read/k", nil)
+		r, err := http.NewRequest(http.MethodGet, "http://"+node.addr+"/read/k", nil)
 		if err != nil {
-			f.t.Error(err)
+			run.t.Error(err)
 			return
 		}
 		r.Header = http.Header{
-			"X-Correlation-Id": {fmt.Sprintf("n%d-%d", n.number, i)}, "X-Service-Class": {"read"}, "X-Time-Left": {"2.0"},
+			"X-Correlation-Id": {fmt.Sprintf("n%d-%d", node.nodeIndex, i)}, "X-Service-Class": {"read"}, "X-Time-Left": {"2.0"},
 		}
-		if resp, err := n.client.Do(r); err == nil {
+		if resp, err := node.client.Do(r); err == nil {
 			resp.Body.Close()
 		}
 	}
 }
 
 // reload names the other addresses of discovery one after the other.
-func (f *lateFleetRun) reload() {
+func (r *discoveryFaultRun) reloadNodes() {
 	for i, pause := range []time.Duration{0, 300 * time.Millisecond, 400 * time.Millisecond, 900 * time.Millisecond} {
 		time.Sleep(pause)
-		for _, n := range f.nodes {
-			at, next := n.links[i].Addr(), n.links[i+1].Addr()
-			text, err := os.ReadFile(n.config)
+		for _, node := range r.nodes {
+			current, next := node.proxies[i].Addr(), node.proxies[i+1].Addr()
+			text, err := os.ReadFile(node.configPath)
 			if err == nil {
-				err = os.WriteFile(n.config, []byte(strings.Replace(string(text), at, next, 1)), 0o600)
+				err = os.WriteFile(node.configPath, []byte(strings.Replace(string(text), current, next, 1)), 0o600)
 			}
 			if err != nil {
-				f.t.Error(err)
+				r.t.Error(err)
 			}
-			n.cmd.Process.Signal(syscall.SIGHUP)
+			node.cmd.Process.Signal(syscall.SIGHUP)
 		}
 	}
 }
 
 // strike has servers leave and the fault begin, and gives when the last discovery was struck.
-func (f *lateFleetRun) strike(leaves string) time.Time {
-	var striking sync.WaitGroup
-	for number, d := range f.discoveries {
-		striking.Go(func() {
-			if f.fault.atWatch {
-				for range lateWatches {
-					f.awaitCall(d)
+func (r *discoveryFaultRun) beginFault(leavingAddr string) time.Time {
+	var faultsBegun sync.WaitGroup
+	for nodeIndex, discovery := range r.discoveries {
+		faultsBegun.Go(func() {
+			if r.testCase.atWatchStart {
+				for range watchesBeforeFault {
+					r.awaitNextCall(discovery)
 				}
 			}
-			at := time.Now()
-			d.SetFault(f.fault.fault())
-			d.Change(goneLines(leaves, standin.Terminating)...)
-			f.mu.Lock()
-			defer f.mu.Unlock()
-			f.struck[fmt.Sprint("n", number)] = at
+			beganAt := time.Now()
+			discovery.SetFault(r.testCase.newFault())
+			discovery.Change(goneEntries(leavingAddr, standin.Terminating)...)
+			r.mu.Lock()
+			defer r.mu.Unlock()
+			r.faultBeganAt[fmt.Sprint("n", nodeIndex)] = beganAt
 		})
 	}
-	striking.Wait()
+	faultsBegun.Wait()
 	return time.Now()
 }
 
 // awaitCall waits for the next call to a discovery.
-func (f *lateFleetRun) awaitCall(d *standin.Discovery) {
-	for calls, end := d.CallCount(), time.Now().Add(readyWithin); d.CallCount() == calls; time.Sleep(time.Millisecond) {
+func (r *discoveryFaultRun) awaitNextCall(discovery *standin.Discovery) {
+	for calls, end := discovery.CallCount(), time.Now().Add(readyTimeout); discovery.CallCount() == calls; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			f.t.Errorf("no call to discovery in %v", readyWithin)
+			r.t.Errorf("no call to discovery in %v", readyTimeout)
 			return
 		}
 	}
 }
 
-func playLateFault(t *testing.T, fault lateFault) {
-	f := &lateFleetRun{t: t, fault: fault, last: map[string]time.Time{}, struck: map[string]time.Time{}}
-	stays, leaves := startServer(t, f.server(false)), startServer(t, f.server(true))
-	lines := append(goneLines(leaves, standin.InService), line("stays", stays, standin.InService))
-	for range lateNodes {
-		d := standin.NewDiscovery(lines)
-		t.Cleanup(d.Close)
-		f.discoveries = append(f.discoveries, d)
+func checkChangesUnderFault(t *testing.T, fault discoveryFaultCase) {
+	run := &discoveryFaultRun{t: t, testCase: fault, lastMisroutedAt: map[string]time.Time{}, faultBeganAt: map[string]time.Time{}}
+	stayingAddr, leavingAddr := startServer(t, run.serverHandler(false)), startServer(t, run.serverHandler(true))
+	entries := append(goneEntries(leavingAddr, standin.InService), newEntry("stays", stayingAddr, standin.InService))
+	for range nodesPerFault {
+		discovery := standin.NewDiscovery(entries)
+		t.Cleanup(discovery.Close)
+		run.discoveries = append(run.discoveries, discovery)
 	}
-	f.known = f.discoveries[0].KnownList()
-	over := make(chan struct{})
+	run.knownList = run.discoveries[0].KnownList()
+	done := make(chan struct{})
 	var clients sync.WaitGroup
-	begin := func() {
-		for number := range lateNodes {
-			n := f.start(number)
-			clients.Go(func() { f.ask(n, over) })
+	startNodes := func() {
+		for nodeIndex := range nodesPerFault {
+			node := run.startNode(nodeIndex)
+			clients.Go(func() { run.sendRequests(node, done) })
 		}
 	}
-	if !fault.start {
-		begin()
-		time.Sleep(lateSettle) // watches are open, and where in their time is left to chance
+	if !fault.atNodeStart {
+		startNodes()
+		time.Sleep(watchSettleTime) // watches are open, and where in their time is left to chance
 	}
-	strikes := f.strike(leaves)
+	beganAt := run.beginFault(leavingAddr)
 	switch {
-	case fault.start:
-		begin()
-	case fault.reload:
-		f.reload()
+	case fault.atNodeStart:
+		startNodes()
+	case fault.withReloads:
+		run.reloadNodes()
 	}
-	if fault.lasts > 0 {
-		time.Sleep(time.Until(strikes.Add(fault.lasts)))
-		for _, d := range f.discoveries {
-			d.SetFault(nil)
+	if fault.duration > 0 {
+		time.Sleep(time.Until(beganAt.Add(fault.duration)))
+		for _, discovery := range run.discoveries {
+			discovery.SetFault(nil)
 		}
 	}
-	allowed := fault.allowed()
-	const watched = time.Second // beyond what is allowed
-	time.Sleep(time.Until(strikes.Add(allowed + watched)))
-	close(over)
+	maxDelay := fault.maxSendDelay()
+	const extraObservation = time.Second // beyond what is allowed
+	time.Sleep(time.Until(beganAt.Add(maxDelay + extraObservation)))
+	close(done)
 	clients.Wait()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for node, at := range f.last {
-		if late := at.Sub(f.struck[node]); late > allowed {
-			t.Errorf("%s sent to a server that left %v after the change, %v is allowed", node, late, allowed)
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	for nodeName, misroutedAt := range run.lastMisroutedAt {
+		if delay := misroutedAt.Sub(run.faultBeganAt[nodeName]); delay > maxDelay {
+			t.Errorf("%s sent to a server that left %v after the change, %v is allowed", nodeName, delay, maxDelay)
 		}
 	}
-	if f.served.Load() == 0 || !fault.start && len(f.last) < lateNodes {
-		t.Errorf("%d requests at the server that stays, %d of %d nodes sent to those that left before", f.served.Load(), len(f.last), lateNodes)
+	if run.served.Load() == 0 || !fault.atNodeStart && len(run.lastMisroutedAt) < nodesPerFault {
+		t.Errorf("%d requests at the server that stays, %d of %d nodes sent to those that left before", run.served.Load(), len(run.lastMisroutedAt), nodesPerFault)
 	}
 }
 
 // A change that discovery has is taken in the time that the rules allow, whatever happens to calls: by
 // 6 s after discovery could be reached, where an agent pushes lists at once, after a new configuration by 4 s.
-func TestChangesAreTakenInTimeFromADiscoveryThatFails(t *testing.T) {
-	for _, fault := range lateFaults {
+func TestChangesAreKnownInTimeThoughDiscoveryFails(t *testing.T) {
+	for _, fault := range discoveryFaultCases {
 		t.Run(strings.ReplaceAll(fault.name, " ", "_"), func(t *testing.T) {
 			t.Parallel()
-			playLateFault(t, fault)
+			checkChangesUnderFault(t, fault)
 		})
 	}
 }
--- a/cmd/otterstep/main.go
+++ b/cmd/otterstep/main.go
@@ -27,13 +27,13 @@
 func run(ctx context.Context) error {
 	// From the first moment on, as an uncaught SIGHUP ends the process. One signal
 	// that waits stands for all: the file is read after it.
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
 	path := os.Getenv("PROXY_CONFIG")
 	if path == "" {
 		return errors.New("configuration: PROXY_CONFIG names no file")
 	}
-	cfg, err := node.LoadConfig(path)
+	config, err := node.LoadConfig(path)
 	if err != nil {
 		return err
 	}
@@ -42,7 +42,7 @@
 		return err
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-	return node.Run(ctx, cfg, node.ConfigReloader{Path: path, Signals: hangups}, log)
+	return node.Run(ctx, config, node.ConfigReloader{Path: path, Signals: reloadSignals}, log)
 }
 
 // logLevel reads the least level that is logged: debug, info (where none is named), warn or error.
--- a/cmd/otterstep/main_test.go
+++ b/cmd/otterstep/main_test.go
@@ -29,13 +29,13 @@
 	os.Exit(m.Run())
 }
 
-func program(config string) *exec.Cmd {
+func programCommand(configPath string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), "OTTERSTEP_MAIN=1", "PROXY_CONFIG="+config)
+	cmd.Env = append(os.Environ(), "OTTERSTEP_MAIN=1", "PROXY_CONFIG="+configPath)
 	return cmd
 }
 
-func configFile(t *testing.T, change func(map[string]any)) string {
+func writeConfig(t *testing.T, change func(map[string]any)) string {
 	t.Helper()
 	config := map[string]any{
 		"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f30d27a5be964",
@@ -58,42 +58,42 @@
 	return path
 }
 
-func TestBadConfigurationIsOneClearLine(t *testing.T) {
-	noJSON := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(noJSON, []byte("{"), 0o600); err != nil {
+func TestInvalidConfigurationGivesOneErrorLine(t *testing.T) {
+	malformedPath := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(malformedPath, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	for name, c := range map[string]struct{ path, word string }{
+	for name, testCase := range map[string]struct{ path, wantText string }{
 		"none named": {"", "PROXY_CONFIG"},
 		"no file":    {filepath.Join(t.TempDir(), "none.json"), "none.json"},
-		"no JSON":    {noJSON, "JSON"},
-		"listen":     {configFile(t, func(c map[string]any) { c["listen"] = "nowhere" }), "listen"},
-		"discovery":  {configFile(t, func(c map[string]any) { delete(c, "discovery") }), "discovery"},
-		"seed":       {configFile(t, func(c map[string]any) { c["seed"] = "xyz" }), "seed"},
-		"sockets":    {configFile(t, func(c map[string]any) { c["limits"] = map[string]any{"sockets": 3} }), "sockets"},
-		"settings":   {configFile(t, func(c map[string]any) { delete(c, "settings") }), "settings"},
-		"module": {configFile(t, func(c map[string]any) {
+		"no JSON":    {malformedPath, "JSON"},
+		"listen":     {writeConfig(t, func(c map[string]any) { c["listen"] = "nowhere" }), "listen"},
+		"discovery":  {writeConfig(t, func(c map[string]any) { delete(c, "discovery") }), "discovery"},
+		"seed":       {writeConfig(t, func(c map[string]any) { c["seed"] = "xyz" }), "seed"},
+		"sockets":    {writeConfig(t, func(c map[string]any) { c["limits"] = map[string]any{"sockets": 3} }), "sockets"},
+		"settings":   {writeConfig(t, func(c map[string]any) { delete(c, "settings") }), "settings"},
+		"module": {writeConfig(t, func(c map[string]any) {
 			c["settings"] = map[string]any{"Classes": []any{map[string]any{"Name": "a", "DeadlineMs": -5}}}
 		}), "Deadline"},
-		"address": {configFile(t, func(c map[string]any) { c["listen"] = "127.0.0.1:99999" }), "listen"},
+		"address": {writeConfig(t, func(c map[string]any) { c["listen"] = "127.0.0.1:99999" }), "listen"},
 	} {
 		var stderr bytes.Buffer
-		cmd := program(c.path)
+		cmd := programCommand(testCase.path)
 		cmd.Stderr = &stderr
 		err := cmd.Run()
 		var exit *exec.ExitError
 		if !errors.As(err, &exit) || exit.ExitCode() <= 0 {
 			t.Errorf("%s: ended with %v, want a non-zero exit code", name, err)
 		}
-		if text := stderr.String(); strings.Count(text, "\n") != 1 || !strings.Contains(text, c.word) {
-			t.Errorf("%s: stderr %q, want one line that names %s", name, text, c.word)
+		if text := stderr.String(); strings.Count(text, "\n") != 1 || !strings.Contains(text, testCase.wantText) {
+			t.Errorf("%s: stderr %q, want one line that names %s", name, text, testCase.wantText)
 		}
 	}
 }
 
 // Guards rule 1 at a reload and a planned restart: under load every connection that came
 // before the node stopped accepting gets its whole answer, and the exit code is 0.
-func TestSignalsUnderLoadLoseNothing(t *testing.T) {
+func TestSignalsUnderLoadLoseNoRequest(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(100 * time.Millisecond)
 		io.WriteString(w, r.Header.Get("X-Correlation-Id"))
@@ -112,23 +112,23 @@
 			backend.Listener.Addr())
 	}))
 	defer discovery.Close()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := l.Addr().String()
-	l.Close()
+	addr := listener.Addr().String()
+	listener.Close()
 
 	var stderr bytes.Buffer
-	cmd := program(configFile(t, func(c map[string]any) {
+	cmd := programCommand(writeConfig(t, func(c map[string]any) {
 		c["listen"], c["discovery"] = addr, discovery.Listener.Addr().String()
 	}))
 	cmd.Stderr = &stderr
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- cmd.Wait() }()
+	exited := make(chan error, 1)
+	go func() { exited <- cmd.Wait() }()
 	defer cmd.Process.Kill()
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for start := time.Now(); ; time.Sleep(5 * time.Millisecond) {
@@ -144,9 +144,9 @@
 	}
 
 	var clients sync.WaitGroup
-	var answered, atTerm atomic.Int64
+	var answered, answeredAtSIGTERM atomic.Int64
 	stop := make(chan struct{})
-	for n := range 8 {
+	for clientIndex := range 8 {
 		clients.Go(func() {
 			for i := 0; ; i++ {
 				select {
@@ -154,7 +154,7 @@
 					return
 				default:
 				}
-				id := fmt.Sprintf("%d-%d", n, i)
+				id := fmt.Sprintf("%d-%d", clientIndex, i)
 				r, _ := http.NewRequest(http.MethodPost, "http://"+addr+"/book/x", strings.NewReader("b"))
 				for name, value := range map[string]string{
 					"X-Correlation-Id": id, "X-Service-Class": "book", "X-Time-Left": "2.0",
@@ -182,25 +182,25 @@
 	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	for hangup := answered.Load(); answered.Load() < hangup+20 && !t.Failed(); {
+	for answeredAtSIGHUP := answered.Load(); answered.Load() < answeredAtSIGHUP+20 && !t.Failed(); {
 		time.Sleep(time.Millisecond)
 	}
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	atTerm.Store(answered.Load())
+	answeredAtSIGTERM.Store(answered.Load())
 	time.Sleep(150 * time.Millisecond) // connections go on coming for a while
 	close(stop)
 	clients.Wait()
 	select {
-	case err := <-ended:
+	case err := <-exited:
 		if err != nil {
 			t.Errorf("ended with %v: %s", err, &stderr)
 		}
 	case <-time.After(20 * time.Second):
 		t.Error("does not end")
 	}
-	if answered.Load() == atTerm.Load() {
+	if answered.Load() == answeredAtSIGTERM.Load() {
 		t.Error("nothing was answered after SIGTERM")
 	}
 }
--- a/cmd/otterstep/process_log_test.go
+++ b/cmd/otterstep/process_log_test.go
@@ -27,15 +27,15 @@
 }
 
 // dropDump takes out the goroutines that an ended process has dumped, and counts them.
-func (l *processLog) dropDump() (count int) {
+func (l *processLog) removeGoroutineDump() (count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	const dump, goroutine = "SIGQUIT: quit", "\ngoroutine "
+	const dumpMarker, goroutineHeader = "SIGQUIT: quit", "\ngoroutine "
 	text := l.text.String()
-	from := strings.Index(text, dump)
-	if from < 0 {
+	dumpStart := strings.Index(text, dumpMarker)
+	if dumpStart < 0 {
 		return 0
 	}
-	l.text.Truncate(from)
-	return strings.Count(text[from:], goroutine)
+	l.text.Truncate(dumpStart)
+	return strings.Count(text[dumpStart:], goroutineHeader)
 }
--- a/cmd/otterstep/signals_test.go
+++ b/cmd/otterstep/signals_test.go
@@ -15,22 +15,22 @@
 )
 
 // signalled is the program before a discovery, and what it has said.
-type signalled struct {
-	t         *testing.T
-	discovery *standin.Discovery
-	addr      string
-	config    string
-	cmd       *exec.Cmd
-	ended     chan error
-	stderr    processLog
-	client    http.Client
+type nodeProcess struct {
+	t          *testing.T
+	discovery  *standin.Discovery
+	addr       string
+	configPath string
+	cmd        *exec.Cmd
+	exited     chan error
+	stderr     processLog
+	client     http.Client
 }
 
 // startSignalled starts the program with a known list, which one of its modes follows.
-func startSignalled(t *testing.T, mode string, lines ...standin.Entry) *signalled {
+func newNodeProcess(t *testing.T, mode string, entries ...standin.Entry) *nodeProcess {
 	t.Helper()
-	p := &signalled{
-		t: t, discovery: standin.NewDiscovery(lines), addr: freeAddress(t), ended: make(chan error, 1),
+	p := &nodeProcess{
+		t: t, discovery: standin.NewDiscovery(entries), addr: freeAddress(t), exited: make(chan error, 1),
 		client: http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}},
 	}
 	t.Cleanup(p.discovery.Close)
@@ -39,9 +39,9 @@
 }
 
 // configure writes the configuration.
-func (p *signalled) configure(mode, discovery string) {
-	p.config = configFile(p.t, func(c map[string]any) {
-		c["listen"], c["discovery"], c["known"] = p.addr, discovery, p.discovery.KnownList()
+func (p *nodeProcess) configure(mode, discoveryAddr string) {
+	p.configPath = writeConfig(p.t, func(c map[string]any) {
+		c["listen"], c["discovery"], c["known"] = p.addr, discoveryAddr, p.discovery.KnownList()
 		c["settings"] = map[string]any{
 			"Balancers": 8, "Me": 0, "RegistryMode": mode, "Zones": []string{"a"},
 			"Classes":  []any{map[string]any{"Name": "read", "DeadlineMs": 2500, "PromiseMs": 1000, "Effect": "pure"}},
@@ -51,14 +51,14 @@
 	})
 }
 
-func (p *signalled) start() {
+func (p *nodeProcess) start() {
 	p.t.Helper()
-	p.cmd = program(p.config)
+	p.cmd = programCommand(p.configPath)
 	p.cmd.Stderr = &p.stderr
 	if err := p.cmd.Start(); err != nil {
 		p.t.Fatal(err)
 	}
-	go func() { p.ended <- p.cmd.Wait() }()
+	go func() { p.exited <- p.cmd.Wait() }()
 	p.t.Cleanup(func() {
 		p.cmd.Process.Kill()
 		p.client.CloseIdleConnections()
@@ -69,9 +69,9 @@
 }
 
 // status waits until the node says at /up whether it is ready, as wanted.
-func (p *signalled) status(want int) {
+func (p *nodeProcess) awaitStatus(want int) {
 	p.t.Helper()
-	for end := time.Now().Add(readyWithin); ; time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(readyTimeout); ; time.Sleep(2 * time.Millisecond) {
 		if resp, err := p.client.Get("http://" + p.addr + "/up"); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == want {
@@ -85,49 +85,49 @@
 }
 
 // endsWell waits for the end of the program.
-func (p *signalled) endsWell(within time.Duration) {
+func (p *nodeProcess) awaitCleanExit(timeout time.Duration) {
 	p.t.Helper()
 	select {
-	case err := <-p.ended:
+	case err := <-p.exited:
 		if err != nil {
 			p.t.Errorf("it ends with %v, want exit code 0", err)
 		}
-	case <-time.After(within):
+	case <-time.After(timeout):
 		p.t.Error("it does not end")
 	}
 }
 
-func echo(w http.ResponseWriter, r *http.Request) {
+func echoCorrelationID(w http.ResponseWriter, r *http.Request) {
 	io.WriteString(w, r.Header.Get("X-Correlation-Id"))
 }
 
 // A new configuration that comes before the node is ready is taken: it gets ready by the address that this
 // one names, where the first one says nothing.
-func TestNewConfigurationDuringAStart(t *testing.T) {
+func TestNewConfigurationDuringAStartIsApplied(t *testing.T) {
 	t.Parallel()
-	server := startServer(t, http.HandlerFunc(echo))
-	listed := line("s1", server, standin.InService)
+	server := startServer(t, http.HandlerFunc(echoCorrelationID))
+	entry := newEntry("s1", server, standin.InService)
 	for _, mode := range []string{"on_request", "pushed"} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
-			p := startSignalled(t, mode, listed)
+			p := newNodeProcess(t, mode, entry)
 			p.discovery.SetFault(standin.NoAnswer)
-			other := standin.NewDiscovery([]standin.Entry{listed})
-			t.Cleanup(other.Close)
+			otherDiscovery := standin.NewDiscovery([]standin.Entry{entry})
+			t.Cleanup(otherDiscovery.Close)
 			p.start()
-			p.status(http.StatusServiceUnavailable)
-			first := p.config
-			p.configure(mode, other.Addr())
-			if err := os.Rename(p.config, first); err != nil {
+			p.awaitStatus(http.StatusServiceUnavailable)
+			originalPath := p.configPath
+			p.configure(mode, otherDiscovery.Addr())
+			if err := os.Rename(p.configPath, originalPath); err != nil {
 				t.Fatal(err)
 			}
-			began := time.Now()
+			signalledAt := time.Now()
 			p.cmd.Process.Signal(syscall.SIGHUP)
-			p.status(http.StatusOK)
-			if took := time.Since(began); took > maxAddressChangeDelay || other.CallCount() == 0 {
-				t.Errorf("ready %v after the new configuration, %d calls to the address that it names", took, other.CallCount())
+			p.awaitStatus(http.StatusOK)
+			if took := time.Since(signalledAt); took > maxAddressChangeDelay || otherDiscovery.CallCount() == 0 {
+				t.Errorf("ready %v after the new configuration, %d calls to the address that it names", took, otherDiscovery.CallCount())
 			}
-			if !ask(&p.client, p.addr, 1) {
+			if !sendRequest(&p.client, p.addr, 1) {
 				t.Error("a request is not served")
 			}
 		})
@@ -136,11 +136,11 @@
 
 // Signals that come behind the one that ends the node change nothing of how it ends, and one that came
 // before with half a configuration does not keep it.
-func TestSignalsInSeriesEndTheNodeWell(t *testing.T) {
+func TestSignalsInSeriesEndTheNodeCleanly(t *testing.T) {
 	t.Parallel()
-	server := startServer(t, http.HandlerFunc(echo))
-	listed := line("s1", server, standin.InService)
-	for name, series := range map[string][]os.Signal{
+	server := startServer(t, http.HandlerFunc(echoCorrelationID))
+	entry := newEntry("s1", server, standin.InService)
+	for name, signals := range map[string][]os.Signal{
 		"SIGTERM twice":             {syscall.SIGTERM, syscall.SIGTERM},
 		"SIGINT behind SIGTERM":     {syscall.SIGTERM, syscall.SIGINT},
 		"SIGHUP behind SIGTERM":     {syscall.SIGTERM, syscall.SIGHUP, syscall.SIGHUP},
@@ -149,20 +149,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			p := startSignalled(t, "on_request", listed)
+			p := newNodeProcess(t, "on_request", entry)
 			p.start()
-			p.status(http.StatusOK)
-			if err := os.Truncate(p.config, 40); err != nil {
+			p.awaitStatus(http.StatusOK)
+			if err := os.Truncate(p.configPath, 40); err != nil {
 				t.Fatal(err)
 			}
-			for i, s := range series {
-				p.cmd.Process.Signal(s)
-				if !ask(&p.client, p.addr, i) { // on the open connection; it also lets the signal be handled
+			for i, sig := range signals {
+				p.cmd.Process.Signal(sig)
+				if !sendRequest(&p.client, p.addr, i) { // on the open connection; it also lets the signal be handled
 					t.Errorf("request %d is not served", i)
 				}
 			}
 			p.client.CloseIdleConnections()
-			p.endsWell(2500*time.Millisecond + 700*time.Millisecond + soakSchedulingSlack)
+			p.awaitCleanExit(2500*time.Millisecond + 700*time.Millisecond + soakSchedulingSlack)
 		})
 	}
 }
@@ -170,51 +170,51 @@
 // A node that was told to end follows its list up to the end: requests on connections that stay open do not
 // go to a server that leaves meanwhile, also where discovery fails at first.
 func TestDrainingNodeFollowsItsList(t *testing.T) {
-	for _, fault := range []struct {
+	for _, testCase := range []struct {
 		name  string
 		fault standin.Fault
 	}{{"well", nil}, {"refuses at first", standin.Unavailable}, {"says nothing at first", standin.NoAnswer}} {
-		t.Run(fault.name, func(t *testing.T) {
+		t.Run(testCase.name, func(t *testing.T) {
 			t.Parallel()
-			var missent atomic.Int64
-			var left atomic.Bool
-			leaves := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				if left.Load() {
-					missent.Add(1)
+			var misrouted atomic.Int64
+			var graceOver atomic.Bool
+			leavingAddr := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+				if graceOver.Load() {
+					misrouted.Add(1)
 				}
-				echo(w, r)
+				echoCorrelationID(w, r)
 			}))
-			stays := startServer(t, http.HandlerFunc(echo))
-			var lines []standin.Entry
+			stayingAddr := startServer(t, http.HandlerFunc(echoCorrelationID))
+			var leavingEntries []standin.Entry
 			for i := range 8 {
-				lines = append(lines, line(fmt.Sprint("leaves-", i), leaves, standin.InService))
+				leavingEntries = append(leavingEntries, newEntry(fmt.Sprint("leaves-", i), leavingAddr, standin.InService))
 			}
-			p := startSignalled(t, "pushed", append(lines, line("stays", stays, standin.InService))...)
+			p := newNodeProcess(t, "pushed", append(leavingEntries, newEntry("stays", stayingAddr, standin.InService))...)
 			p.start()
-			p.status(http.StatusOK)
+			p.awaitStatus(http.StatusOK)
 			p.cmd.Process.Signal(syscall.SIGTERM)
-			p.discovery.SetFault(fault.fault)
-			for i := range lines {
-				lines[i].State = standin.Terminating
+			p.discovery.SetFault(testCase.fault)
+			for i := range leavingEntries {
+				leavingEntries[i].State = standin.Terminating
 			}
-			p.discovery.Change(lines...)
+			p.discovery.Change(leavingEntries...)
 			for i, until := 0, time.Now().Add(400*time.Millisecond); time.Now().Before(until); i++ {
-				ask(&p.client, p.addr, i) // one whose attempt is withdrawn as its server leaves may be refused
+				sendRequest(&p.client, p.addr, i) // one whose attempt is withdrawn as its server leaves may be refused
 			}
 			p.discovery.SetFault(nil)
-			told := time.Now().Add(drainGrace + soakSchedulingSlack)
+			graceEnd := time.Now().Add(drainGrace + soakSchedulingSlack)
 			served := 0
-			for i := 1_000_000; time.Now().Before(told.Add(time.Second)); i++ { // an id is taken once
-				left.Store(time.Now().After(told))
-				if ask(&p.client, p.addr, i) && left.Load() {
+			for i := 1_000_000; time.Now().Before(graceEnd.Add(time.Second)); i++ { // an id is taken once
+				graceOver.Store(time.Now().After(graceEnd))
+				if sendRequest(&p.client, p.addr, i) && graceOver.Load() {
 					served++
 				}
 			}
-			if missent.Load() > 0 || served == 0 {
-				t.Errorf("%d requests went to servers that had left, %d were served after that", missent.Load(), served)
+			if misrouted.Load() > 0 || served == 0 {
+				t.Errorf("%d requests went to servers that had left, %d were served after that", misrouted.Load(), served)
 			}
 			p.client.CloseIdleConnections()
-			p.endsWell(4 * time.Second)
+			p.awaitCleanExit(4 * time.Second)
 		})
 	}
 }
--- a/cmd/otterstep/soak_judge_test.go
+++ b/cmd/otterstep/soak_judge_test.go
@@ -184,7 +184,7 @@
 	}
 	logBeforeDump := node.log.String()
 	node.log.Write([]byte("SIGQUIT: quit\nPC=0x1\n\ngoroutine 0 [idle]:\nx\n\ngoroutine 1 [select]:\ny\n"))
-	if count := node.log.dropDump(); count != 2 || node.log.String() != logBeforeDump {
+	if count := node.log.removeGoroutineDump(); count != 2 || node.log.String() != logBeforeDump {
 		t.Errorf("%d goroutines, the log is then %q", count, node.log.String())
 	}
 }
--- a/cmd/otterstep/soak_node_test.go
+++ b/cmd/otterstep/soak_node_test.go
@@ -61,7 +61,7 @@
 func (n *soakNode) start(knownList standin.List, signalsDuringStart ...os.Signal) {
 	n.writeConfig(n.env.configuredAddress().link.Addr(), knownList)
 	n.env.recordProcessStart(knownList)
-	cmd := program(n.configPath)
+	cmd := programCommand(n.configPath)
 	cmd.Stderr = &n.log
 	if err := cmd.Start(); err != nil {
 		n.env.t.Error(err)
@@ -87,8 +87,8 @@
 				}
 			}
 		}
-		if time.Since(startedAt) > readyWithin+soakSchedulingSlack {
-			n.env.recordViolation(violationProcess, "not ready within %v", readyWithin)
+		if time.Since(startedAt) > readyTimeout+soakSchedulingSlack {
+			n.env.recordViolation(violationProcess, "not ready within %v", readyTimeout)
 			break
 		}
 	}
@@ -136,7 +136,7 @@
 // dump ends the process at once, with its goroutines in its log, and checks their number.
 func (n *soakNode) dumpGoroutines() {
 	n.endAtOnce(syscall.SIGQUIT)
-	count := n.log.dropDump()
+	count := n.log.removeGoroutineDump()
 	n.peak.goroutines = max(n.peak.goroutines, count)
 	n.env.recordEvent("%d goroutines", count)
 	if count == 0 || count > soakGoroutineLimit {
--- a/cmd/otterstep/soak_test.go
+++ b/cmd/otterstep/soak_test.go
@@ -62,7 +62,7 @@
 	for i := range soakServerCount {
 		link := startProxy(t, startServer(t, env.serverHandler(soakServerUID(i))))
 		env.serverLinks = append(env.serverLinks, link)
-		entries = append(entries, line(soakServerUID(i), link.Addr(), standin.InService))
+		entries = append(entries, newEntry(soakServerUID(i), link.Addr(), standin.InService))
 	}
 	env.history = standin.NewHistory(entries)
 	for addressNumber := range soakAddressCount {
