--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -105,12 +105,12 @@
 // failingDialer fails so many times with an error and then dials.
 func failingDialer(failures int64, errno syscall.Errno) dialer {
 	var calls atomic.Int64
-	dial := tcpDialer(testTimeout)
+	real := tcpDialer(testTimeout)
 	return func(ctx context.Context, addr string) (net.Conn, error) {
 		if calls.Add(1) <= failures {
 			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
 		}
-		return dial(ctx, addr)
+		return real(ctx, addr)
 	}
 }
 
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -77,14 +77,14 @@
 	receivedAt := f.loop.clock.now()
 	overLimit := f.clients.isFull()
 	if r.URL.Path == "/up" {
-		f.closeAfterAnswer(w, r)
+		f.close(w, r)
 		if !f.isReady() {
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
 		}
 		return
 	}
 	if _, isClass := f.classIndex[metricsPath[1:]]; r.URL.Path == metricsPath && !isClass {
-		f.closeAfterAnswer(w, r)
+		f.close(w, r)
 		f.loop.metrics.write(w)
 		return
 	}
@@ -124,7 +124,7 @@
 			f.writeClientError(w, &clientError{http.StatusConflict, "X-Correlation-Id: in use"})
 			return
 		}
-		f.closeAfterAnswer(w, r)
+		f.close(w, r)
 		writeAnswer(w, answer)
 	case <-r.Context().Done(): // the client went away
 		f.loop.post(func() { f.loop.clientDisconnected(submitted) })
@@ -138,7 +138,7 @@
 // descriptors are left: nothing can cross such a close. So does it where the client sent
 // more than is kept behind its request. It is asked when the answer is there, as much may
 // have changed since the request came.
-func (f *front) closeAfterAnswer(w http.ResponseWriter, r *http.Request) {
+func (f *front) close(w http.ResponseWriter, r *http.Request) {
 	var reason string
 	switch {
 	case f.draining.Load():
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -199,7 +199,7 @@
 			u.mu.Unlock()
 			return c, nil
 		}
-		u.closeConn(c, closedStale)
+		u.close(c, closedStale)
 	}
 	if u.openConns >= u.maxConns && !u.evictOldestIdle() {
 		u.mu.Unlock()
@@ -227,7 +227,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !reusable {
-		u.closeConn(c, closedUnusable)
+		u.close(c, closedUnusable)
 		return
 	}
 	c.idleSince = time.Now()
@@ -245,7 +245,7 @@
 )
 
 // close needs the lock.
-func (u *upstream) closeConn(c *serverConn, reason closeReason) {
+func (u *upstream) close(c *serverConn, reason closeReason) {
 	u.openConns--
 	c.Close()
 	u.log.Debug("connection to server closed", "endpoint", c.incarnation.addr, "reason", string(reason))
@@ -263,7 +263,7 @@
 		return false
 	}
 	u.idleConns[oldest.incarnation] = slices.Delete(u.idleConns[oldest.incarnation], 0, 1)
-	u.closeConn(oldest, closedForRoom)
+	u.close(oldest, closedForRoom)
 	return true
 }
 
@@ -272,7 +272,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, c := range u.idleConns[incarnation] {
-		u.closeConn(c, closedReplaced)
+		u.close(c, closedReplaced)
 	}
 	delete(u.idleConns, incarnation)
 }
@@ -288,7 +288,7 @@
 			if time.Since(c.idleSince) < u.maxIdle && c.isOpenAndSilent() {
 				kept = append(kept, c)
 			} else {
-				u.closeConn(c, closedStale)
+				u.close(c, closedStale)
 			}
 		}
 		clear(conns[len(kept):])
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -121,7 +121,7 @@
 		defer u.mu.Unlock()
 		for _, list := range u.idleConns {
 			for _, c := range list {
-				u.closeConn(c, closedUnusable)
+				u.close(c, closedUnusable)
 			}
 		}
 	})
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -292,12 +292,12 @@
 func (r *Reply) appendAction(code byte) []byte {
 	if r.contextInstance != int(r.instance) {
 		r.contextInstance = int(r.instance)
-		binary.BigEndian.PutUint16(r.appendRecord(actionContext)[1:], r.instance)
+		binary.BigEndian.PutUint16(r.append(actionContext)[1:], r.instance)
 	}
-	return r.appendRecord(code)
+	return r.append(code)
 }
 
-func (r *Reply) appendRecord(code byte) []byte {
+func (r *Reply) append(code byte) []byte {
 	var blank [actionBytes]byte
 	r.frame = append(r.frame, blank[:]...)
 	rec := r.frame[len(r.frame)-actionBytes:]
--- a/policy/request.go
+++ b/policy/request.go
@@ -195,7 +195,7 @@
 		b.scheduleRetry(now, r)
 	}
 	if r.done {
-		b.closeRequest(r)
+		b.close(r)
 	}
 	b.dispatch(now)
 }
@@ -224,11 +224,11 @@
 	if !r.done {
 		b.cancelAttempts(r, nil)
 	}
-	b.closeRequest(r)
+	b.close(r)
 }
 
 // close takes a request off the books once it is done and its attempts are in.
-func (b *Balancer) closeRequest(r *request) {
+func (b *Balancer) close(r *request) {
 	if !r.done {
 		r.done = true
 		last := b.activeRequests[len(b.activeRequests)-1]
