--- a/policy/calls.go
+++ b/policy/calls.go
@@ -5,61 +5,65 @@
 	"time"
 )
 
-// When discovery is called for the list. This is the one place that plans calls, begins them and gives
-// them up; the host carries them out.
+// Planning of calls to discovery. Calls are planned, begun and cancelled here only; the host carries them out.
 //
-// The rules say by when a node has to know what discovery has, and nothing of how long discovery takes. So
-// no call is given up for being late: another one begins beside it, the first answer counts, and what was
-// asked before the answered call is dropped. A new call begins as soon as the newest one has ended or is
-// late, and no sooner than callpace.go allows for the whole fleet.
+// The rules set a time by which a node has to know what discovery has, and say nothing about how long discovery
+// takes. So no call is cancelled for being late: another call begins beside it, the first answer counts, and
+// the calls that began before the answered one are cancelled. A new call begins as soon as the newest one has
+// ended or is late, but no sooner than callpace.go allows for the whole fleet.
 
 const (
-	maxListAge            = 6 * time.Second // a change counts as told so long after discovery had it,
-	maxAddressChangeDelay = 4 * time.Second // and what another address has so long after the reload
-	callReserve           = time.Second     // of that is left for the call itself
+	// maxListAge is the time after which a node has to know a change that discovery has.
+	maxListAge = 6 * time.Second
+	// maxAddressChangeDelay is the time after a reload by which a node has to know the list of the new address.
+	maxAddressChangeDelay = 4 * time.Second
+	// callReserve is the part of these times that is left for the call itself.
+	callReserve = time.Second
 
-	timerSlack = time.Millisecond // a host may count its timers in coarser units
+	// timerSlack allows for a host that rounds the times of its timers.
+	timerSlack = time.Millisecond
 
-	// A node that started serves from the list that it had before once discovery has told it what
-	// changed. Until then it refuses requests. It is ready for clients after readyLeast to readyMost all
-	// the same: nine in ten have to be within 10 s, and on short days 6 s.
+	// A restarted node serves requests by its cached list once discovery has told what changed, and refuses
+	// requests until then. It reports that it is ready for clients after minReadyDelay to maxReadyDelay even
+	// without an answer: nine in ten nodes have to be ready within 10 s, and on short days within 6 s.
 	minReadyDelay = 5 * time.Second
 	maxReadyDelay = 8500 * time.Millisecond
 
-	// serveUnconfirmed is when a node that has to ask serves without an answer: each node has to be
-	// ready within 30 s. An agent's list counts as told from the start on, so there is no such time.
+	// maxConfirmationWait is the time after which a node that has to request its list serves without an answer:
+	// each node has to be ready within 30 s. A node with an agent has to know the agent's list from the start
+	// on, so no such time applies to it.
 	maxConfirmationWait = 28 * time.Second
 )
 
-// calls is where a node stands with its calls to discovery.
+// callState holds the state of a node's calls to discovery.
 type callState struct {
-	inFlight   []inFlightCall // oldest first; of a subscription the one that is asked for or lasts
+	inFlight   []inFlightCall // oldest first; with a subscription only the latest call
 	lastID     CallID
-	lastCallAt time.Duration // when the newest one began
+	lastCallAt time.Duration // start of the newest call
 
-	hasNext    bool          // a call is to be made
-	nextAt     time.Duration // no sooner than this; timers set before are void
-	nextReason CallReason    // of it
+	hasNext    bool          // a call is planned
+	nextAt     time.Duration // earliest start of the planned call; timers that fire before it are ignored
+	nextReason CallReason    // reason of the planned call
 
-	watching           bool          // the newest one goes on with a watch
-	watchStable        bool          // a watch was answered, and no call has failed since
-	lateBeyondQueueing bool          // a call is later than a busy discovery would let it wait
-	callsSinceAnswer   int           // calls begun since the last answer that do not
-	lastUnusable       bool          // the last one that came to nothing brought an answer that can't be taken
-	refusedRetries     int           // calls in a row that were refused at once, and made again soon
-	burstCallsLeft     int           // calls that may still follow soon
-	burstsSinceAnswer  int           // of them since the last answer
-	answeredInBurst    bool          // the last failures ended in a burst
+	watching           bool          // the newest call continues a watch
+	watchStable        bool          // a watch was answered, and no call has failed since, except by unusable answers
+	lateBeyondQueueing bool          // a call is later than queueing at a busy discovery explains
+	callsSinceAnswer   int           // calls begun since the last answer, except those that continue a watch
+	lastUnusable       bool          // the last failed call brought an unusable answer
+	refusedRetries     int           // consecutive calls that were refused at once and retried soon
+	burstCallsLeft     int           // calls left in the current burst
+	burstsSinceAnswer  int           // bursts since the last answer
+	answeredInBurst    bool          // the last failures ended with an answer during a burst
 	failureFreeSince   time.Duration // no call has failed since then
-	flakyUntil         time.Duration // calls were seen to fail at random; up to then
-	answerDelay        time.Duration // how late the latest answer was
-	answeredAt         time.Duration // when discovery last told all that it had; 0: not yet
-	listDeadline       time.Duration // what was not heard counts as told from then on; 0: nothing does
-	overdueReported    bool          // the observer was told that it is past
-	failingSince       time.Duration // when calls began to come to nothing
+	flakyUntil         time.Duration // calls count as failing at random until then
+	answerDelay        time.Duration // delay of the latest answer
+	answeredAt         time.Duration // time at which discovery last told all that it had; 0: not yet
+	listDeadline       time.Duration // from then on the node is expected to know what it has not heard; 0: none yet
+	overdueReported    bool          // the observer was told that the list deadline has passed
+	failingSince       time.Duration // start of the present series of failed calls
 }
 
-// callFirst has the first call of a node made that has started, and bounds how long its list waits to
+// planFirstCall plans the first call of a node that has started, and limits how long its cached list waits to
 // be confirmed.
 func (b *Balancer) planFirstCall(now time.Duration, knowsServers bool) {
 	b.calls = callState{failingSince: now}
@@ -75,17 +79,17 @@
 	}
 }
 
-// callsList tells whether the list has to be called for.
+// callsDiscovery reports whether the node has to call discovery for its list.
 func (b *Balancer) callsDiscovery() bool { return b.settings.ListOnRequest || b.settings.LongPolling }
 
-// callAt plans the next call in place of the one that was planned.
+// planCall plans the next call, in place of the one that was planned before.
 func (b *Balancer) planCall(at time.Duration, reason CallReason) {
 	b.calls.hasNext, b.calls.nextAt, b.calls.nextReason = true, at, reason
 	b.host.SetTimer(at, tokenCall)
 	b.reportCallPlanned()
 }
 
-// call begins the call that is planned if it is due.
+// callIfDue begins the planned call if it is due. A call beside a late one is put off while an answer arrives.
 func (b *Balancer) callIfDue(now time.Duration) {
 	switch {
 	case !b.calls.hasNext || now+timerSlack < b.calls.nextAt:
@@ -96,10 +100,11 @@
 	}
 }
 
-// begin begins a call, and plans the next one for when this one is late.
+// beginCall begins a call and, with LongPolling, plans the next one for the time at which this one is late.
 func (b *Balancer) beginCall(now time.Duration, reason CallReason) {
 	c := &b.calls
-	c.lateBeyondQueueing = c.lateBeyondQueueing || reason == CallReasonLate && !c.watching && (!c.watchStable || now-c.answeredAt >= maxLateThreshold)
+	c.lateBeyondQueueing = c.lateBeyondQueueing ||
+		reason == CallReasonLate && !c.watching && (!c.watchStable || now-c.answeredAt >= maxLateThreshold)
 	c.hasNext, c.lastCallAt = false, now
 	c.lastID++
 	call := Call{ID: c.lastID, Reason: reason, WaitForChanges: b.waitForChanges(reason), ListDeadline: c.listDeadline}
@@ -107,9 +112,10 @@
 		c.countCall()
 	}
 	if !b.settings.LongPolling {
-		c.inFlight = c.inFlight[:0] // a subscription is asked for anew
+		c.inFlight = c.inFlight[:0] // a new subscription replaces the old one
 	}
-	if c.inFlight = append(c.inFlight, inFlightCall{id: call.ID, wait: call.WaitForChanges, began: now}); len(c.inFlight) > maxCallsInFlight {
+	if c.inFlight = append(c.inFlight, inFlightCall{
+		id: call.ID, wait: call.WaitForChanges, began: now}); len(c.inFlight) > maxCallsInFlight {
 		b.cancelDensestCall(now)
 	}
 	b.host.StartCall(call)
@@ -118,7 +124,7 @@
 	}
 }
 
-// count counts a call that does not go on with a watch; those of a burst count as one.
+// countCall counts a call that does not continue a watch. The calls of a burst count as one.
 func (c *callState) countCall() {
 	if c.burstCallsLeft == 0 || c.callsSinceAnswer == 0 {
 		c.callsSinceAnswer++
@@ -126,8 +132,8 @@
 	c.burstCallsLeft = max(0, c.burstCallsLeft-1)
 }
 
-// CallEnded is told of the end of a call (with LongPoll), behind the Members event of the list that it
-// brought. One that the module has ended itself is of no interest any more.
+// CallEnded tells the Balancer, with LongPolling, that a call has ended. The host reports the list that the
+// call brought before, by ListUpdatedFrom. The ends of calls that the Balancer has cancelled are ignored.
 func (b *Balancer) CallEnded(now time.Duration, end CallEnd) {
 	inFlight := b.calls.inFlight
 	i := slices.IndexFunc(inFlight, func(c inFlightCall) bool { return c.id == end.ID })
@@ -147,7 +153,7 @@
 	b.callAnswered(now, call, isNewest, end.Changed)
 }
 
-// callAnswered notes that discovery has told all that it has, and goes on with the watch.
+// callAnswered records that discovery has told all that it has, and continues with a watch.
 func (b *Balancer) callAnswered(now time.Duration, call inFlightCall, isNewest, changed bool) {
 	c := &b.calls
 	if b.settings.LongPolling || !c.watching {
@@ -159,14 +165,16 @@
 	if c.answeredInBurst && b.backlogCleared(now) {
 		c.answeredInBurst, c.flakyUntil = false, now+flakyDuration
 	}
-	c.callsSinceAnswer, c.burstCallsLeft, c.burstsSinceAnswer, c.refusedRetries, c.lateBeyondQueueing = 0, 0, 0, 0, false
+	c.callsSinceAnswer, c.burstCallsLeft, c.burstsSinceAnswer, c.refusedRetries, c.lateBeyondQueueing =
+		0, 0, 0, 0, false
 	c.answeredAt, c.watchStable = now, c.watchStable || isNewest && c.watching
 	b.setListDeadline(now, max(c.listDeadline, now-c.answerDelay+maxListAge))
 	switch {
 	case !b.settings.LongPolling:
 		c.hasNext, c.watching = false, true
 	case isNewest && !changed && now-call.began < call.wait/2:
-		b.planCall(max(now, c.lastCallAt+burstInterval), CallReasonNext) // it does not wait as long as it is asked to
+		// Discovery does not wait for changes as long as it is asked to.
+		b.planCall(max(now, c.lastCallAt+burstInterval), CallReasonNext)
 	case isNewest:
 		b.beginCall(now, CallReasonNext)
 	case !c.watching && b.overlapsCalls():
@@ -174,8 +182,9 @@
 	}
 }
 
-// dueBy notes from when on what the node has not heard counts as told: toldAfter after the instant as of which it
-// knows the list, which is earlier than that of an answer by as much as that was late.
+// setListDeadline sets the time from which on the node is expected to know what it has not heard. That is
+// maxListAge after the time as of which the node knows the list, which is earlier than its last answer by the
+// delay of that answer.
 func (b *Balancer) setListDeadline(now, deadline time.Duration) {
 	b.calls.listDeadline = deadline
 	b.calls.overdueReported = b.calls.overdueReported && deadline <= now
@@ -184,7 +193,7 @@
 	}
 }
 
-// checkDue tells the observer once where the list is due.
+// checkListDeadline tells the observer, once, that the list is overdue.
 func (b *Balancer) checkListDeadline(now time.Duration) {
 	if now >= b.calls.listDeadline && !b.calls.overdueReported {
 		b.calls.overdueReported = true
@@ -192,22 +201,22 @@
 	}
 }
 
-// answeredLate is how late an answer was, given how late the one before was.
+// answerDelay returns the delay of an answer, given the delay of the one before.
 func answerDelay(now time.Duration, call inFlightCall, changed bool, previous time.Duration) time.Duration {
 	took := now - call.began
 	minDelay := max(0, took-call.wait)
-	if changed { // it need not have waited
+	if changed { // discovery may have answered before the end of the wait
 		return min(max(previous, minDelay), took)
 	}
 	return minDelay
 }
 
-// callFailed has the next call made after one that came to nothing, or after a watch that broke.
+// callFailed plans the next call after a call that failed or a watch that broke.
 func (b *Balancer) callFailed(now time.Duration, call inFlightCall, isNewest bool, end CallEnd) {
 	c := &b.calls
 	switch {
 	case !b.callsDiscovery() || !isNewest && c.hasNext && now < c.nextAt:
-		return // a newer one is out
+		return // a newer call is in flight
 	case c.callsSinceAnswer == 0:
 		c.failingSince = now
 	}
@@ -233,13 +242,14 @@
 	b.planCall(nextAt, CallReasonRetry)
 }
 
-// watchSilent has the next call made after a subscription that has fallen silent.
+// subscriptionSilent plans the next call after a subscription that has fallen silent.
 func (b *Balancer) subscriptionSilent(now time.Duration) {
 	b.calls.watching, b.calls.failingSince = false, now
-	b.planCall(b.advanceBeforeDeadline(now, now+b.randomUpTo(min(b.brokenWatchSpread(), maxLateSpread))), CallReasonLate)
+	b.planCall(
+		b.advanceBeforeDeadline(now, now+b.randomUpTo(min(b.brokenWatchSpread(), maxLateSpread))), CallReasonLate)
 }
 
-// discoveryMoved drops the calls to the old address and has the first one to another address made.
+// addressChanged cancels the calls to the old address and plans the first one to the new address.
 func (b *Balancer) addressChanged(now time.Duration) {
 	for _, call := range b.calls.inFlight {
 		b.host.CancelCall(call.id)
@@ -255,12 +265,13 @@
 	b.planCall(now+b.randomUpTo(min(b.callSpread(), maxAddressChangeSpread)), CallReasonAddressChanged)
 }
 
-// holds tells whether the watch has held for so long that discovery has worked through what waited.
+// backlogCleared reports whether no call has failed for so long that discovery has worked through its queue of
+// calls.
 func (b *Balancer) backlogCleared(now time.Duration) bool {
 	return now-b.calls.failureFreeSince >= maxLateThreshold
 }
 
-// mayBurst tells whether some calls may follow soon after one that came to nothing.
+// mayBurst reports whether a burst of calls may follow a failed call.
 func (b *Balancer) mayBurst(now time.Duration, result CallResult) bool {
 	c := &b.calls
 	switch {
@@ -272,12 +283,13 @@
 	return c.callsSinceAnswer == 0 && b.refusedWithoutOverload(now, result)
 }
 
-// mayCallSoon tells whether a call that was refused at once is made again soon: discovery may have as many
-// callers as it takes for the moment, and works through them. It is so a few times in a row, as a discovery that
-// is down may refuse at once too.
+// mayRetryRefused reports whether a call that was refused at once is retried soon: discovery may have as many
+// callers as it takes at the moment, and it works through them. This holds for a few calls in a row only, as a
+// discovery that is down may refuse at once too.
 func (b *Balancer) mayRetryRefused(now time.Duration, call inFlightCall, result CallResult) bool {
 	c := &b.calls
-	if result != CallRefused || !b.settings.ListOnRequest || now-call.began >= minQueuedFailure || c.refusedRetries >= maxRefusedRetries {
+	if result != CallRefused || !b.settings.ListOnRequest ||
+		now-call.began >= minQueuedFailure || c.refusedRetries >= maxRefusedRetries {
 		c.refusedRetries = 0
 		return false
 	}
@@ -285,14 +297,14 @@
 	return true
 }
 
-// notBusy tells whether a call was refused though discovery can't be too busy for it: it was only to go on
-// with a watch that holds, or calls were seen to fail at random.
+// refusedWithoutOverload reports whether a call was refused though discovery can't be too busy for it: the call
+// only continued a watch after a long time without failures, or calls are known to fail at random.
 func (b *Balancer) refusedWithoutOverload(now time.Duration, result CallResult) bool {
 	return result == CallRefused && b.settings.ListOnRequest && (b.backlogCleared(now) || now < b.calls.flakyUntil)
 }
 
-// inTime brings a call forward that would come after the list is due, to a random time: many nodes
-// may have had their last answer at the same moment.
+// advanceBeforeDeadline moves a call that would come after the list deadline to a random time before it: many
+// nodes may have had their last answer at the same moment.
 func (b *Balancer) advanceBeforeDeadline(now, callAt time.Duration) time.Duration {
 	if latestAt := b.calls.listDeadline - callReserve; callAt > latestAt && latestAt > now {
 		return latestAt - b.randomUpTo((latestAt-now)/2)
@@ -300,7 +312,7 @@
 	return callAt
 }
 
-// ready tells the host that clients may come.
+// reportReady tells the host, once, that clients may come.
 func (b *Balancer) reportReady() {
 	if !b.readyReported {
 		b.readyReported = true
@@ -308,7 +320,7 @@
 	}
 }
 
-// serve has requests served from now on.
+// startServing has requests served from now on.
 func (b *Balancer) startServing() {
 	b.serving = true
 	b.reportReady()
--- a/policy/callsout.go
+++ b/policy/callsout.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// The calls to discovery that are out.
+// Calls to discovery that are in flight.
 
 const (
-	// callsOutMost bounds the calls that are out at once. Each holds a descriptor.
+	// maxCallsInFlight limits the calls in flight. Each of them holds a file descriptor.
 	maxCallsInFlight = 12
 
-	// arrivalRate is how fast the bytes of an answer come in that is not late, in bytes a second. An answer to
-	// another call would have as many.
+	// minArrivalBytesPerSecond is the rate at which an answer has to arrive so that it does not count as late.
+	// The answer to another call would be as long.
 	minArrivalBytesPerSecond = 256 << 10
 )
 
-// callOut is a call that has not ended.
+// inFlightCall is a call that has not ended.
 type inFlightCall struct {
 	id    CallID
-	wait  time.Duration // that discovery was asked to wait for changes
+	wait  time.Duration // time that discovery was asked to wait for changes
 	began time.Duration
 
-	bytesReceived    int64         // of its answer have come,
-	bytesAtLastCheck int64         // and had when it was last found not to be late
-	lastCheckAt      time.Duration // or began to come in
+	bytesReceived    int64         // bytes of the answer that have arrived
+	bytesAtLastCheck int64         // bytesReceived when the answer was last found to be arriving
+	lastCheckAt      time.Duration // time of that check; before it, time of the first bytes
 }
 
-// arrives tells whether enough of the answer has come in since it was looked at last.
+// isArriving reports whether enough of the answer has arrived since the last check.
 func (c *inFlightCall) isArriving(now time.Duration) bool {
-	return c.bytesReceived > c.bytesAtLastCheck && float64(c.bytesReceived-c.bytesAtLastCheck) >= minArrivalBytesPerSecond*(now-c.lastCheckAt).Seconds()
+	return c.bytesReceived > c.bytesAtLastCheck &&
+		float64(c.bytesReceived-c.bytesAtLastCheck) >= minArrivalBytesPerSecond*(now-c.lastCheckAt).Seconds()
 }
 
-// CallProgress is told how many bytes of the answer to a call have come so far. It may be told now and then, as
-// each further part of a long answer has come.
+// CallProgress tells the Balancer how many bytes of the answer to a call have arrived so far. The host may
+// report it from time to time while a long answer arrives.
 func (b *Balancer) CallProgress(now time.Duration, id CallID, bytes int64) {
 	i := slices.IndexFunc(b.calls.inFlight, func(c inFlightCall) bool { return c.id == id })
 	if i < 0 {
@@ -46,7 +47,7 @@
 	call.bytesReceived = bytes
 }
 
-// answerArrives tells whether an answer is coming in, which another call would only delay.
+// isAnswerArriving reports whether an answer is arriving, which another call would only delay.
 func (b *Balancer) isAnswerArriving(now time.Duration) bool {
 	isArriving := false
 	for i := range b.calls.inFlight {
@@ -58,8 +59,8 @@
 	return isArriving
 }
 
-// thinOut gives up one of the calls that are out: the one whose neighbours are the closest for their age.
-// So calls of all ages stay out, and an answer comes however late discovery is.
+// cancelDensestCall cancels one of the calls in flight: the one whose neighbours are the closest in relation to
+// their age. So calls of all ages stay in flight, and an answer comes however late discovery is.
 func (b *Balancer) cancelDensestCall(now time.Duration) {
 	inFlight := b.calls.inFlight
 	densest, smallestGap := 1, 0.0
