--- a/policy/membership.go
+++ b/policy/membership.go
@@ -8,53 +8,53 @@
 	"otterstep/internal/table"
 )
 
-// statement is a line of the list with its origin.
+// sourcedEntry is an entry of the list with its origin.
 type sourcedEntry struct {
 	Entry
 	origin  Origin
 	heardAt time.Duration
 }
 
-// listed is a line of the list as it counts.
+// listedServer is an entry of the list as it counts.
 type listedServer struct {
 	sourcedEntry
-	position     uint32        // of this node in the server's own order of all nodes
-	processStart time.Duration // by this node's clock; 0: for long
+	position     uint32        // index of this node in the server's own order of all nodes
+	processStart time.Duration // by this node's clock; 0: long ago
 }
 
-// directory keeps what the list says of every server; what a node finds out is in server.
+// serverList holds what the list says of every server. What a node learns by itself is in server.
 type serverList struct {
 	table.Table[ServerID, listedServer]
 	inServiceCount     int
-	latestProcessStart time.Duration // the latest of any server listed so far
-	meanCapacityShare  float64       // of their capacity that the ready servers have, as of sharesAt
+	latestProcessStart time.Duration // latest process start of any server listed so far
+	meanCapacityShare  float64       // mean capacity share of the servers in service, as of meanShareAt
 	meanShareAt        time.Duration
 }
 
-// update takes in one line of a list; one for a server that is gone removes it.
-func (d *serverList) update(server listedServer) {
-	d.meanShareAt, d.latestProcessStart = -1, max(d.latestProcessStart, server.processStart)
-	if old, known := d.Get(server.Server); known && old.State == StateInService {
-		d.inServiceCount--
+// update applies one entry of a list. An entry of a server that is gone removes the server.
+func (l *serverList) update(server listedServer) {
+	l.meanShareAt, l.latestProcessStart = -1, max(l.latestProcessStart, server.processStart)
+	if old, known := l.Get(server.Server); known && old.State == StateInService {
+		l.inServiceCount--
 	}
 	if server.State == StateInService {
-		d.inServiceCount++
+		l.inServiceCount++
 	}
 	if server.State == StateGone {
-		d.Remove(server.Server)
+		l.Remove(server.Server)
 	} else {
-		d.Put(server)
+		l.Put(server)
 	}
 }
 
-// Members follows the server list for a host with one source, whose events come in the order of its
-// versions. MembersFrom is the same for a host that knows the origin of what it is told.
+// ListUpdated applies a list event for a host with one source, whose events come in the order of its versions.
+// A host that knows the origins of its lists calls ListUpdatedFrom instead.
 func (b *Balancer) ListUpdated(now time.Duration, kind ListKind, entries []Entry) {
 	b.ListUpdatedFrom(now, Origin{Source: b.listOrigin.Source, Version: b.listOrigin.Version + 1}, kind, entries)
 }
 
-// MembersFrom follows the server list: it takes lists and changes in, and has the list called for. With
-// LongPoll what becomes of calls is told by CallEnded. The origin counts where there are entries.
+// ListUpdatedFrom applies a list event: it takes in lists and changes, and plans calls for the list. With
+// LongPolling the ends of calls are reported by CallEnded. Events without a list ignore the origin.
 func (b *Balancer) ListUpdatedFrom(now time.Duration, origin Origin, kind ListKind, entries []Entry) {
 	switch kind {
 	case ListFailed:
@@ -87,8 +87,9 @@
 	}
 }
 
-// follow takes note of the source that is followed from now on. One whose versions go back counts as another
-// one; where they go back again and again, as of replicas that take turns, once in catchUpMost.
+// followSource records the source that is followed from now on. A source whose versions go back counts as
+// another one. Where they go back repeatedly, as with replicas that take turns, this happens once in
+// maxReplicaLag.
 func (b *Balancer) followSource(now time.Duration, origin Origin) {
 	goesBack := origin.Version < b.listOrigin.Version && now-b.sourceFollowedSince >= maxReplicaLag
 	if origin.Source != b.listOrigin.Source || goesBack {
@@ -97,17 +98,19 @@
 	b.listOrigin = origin
 }
 
-// listChanged has requests go by the list as it is now.
+// listChanged has requests follow the list as it is now: it cancels unsent attempts at servers out of service
+// and dispatches the queue.
 func (b *Balancer) listChanged(now time.Duration) {
 	b.cancelUnsentOutOfService()
 	b.scoresUpdatedAt = -1
 	b.dispatch(now)
 }
 
-// subscription gives the latest call for one, also after it was answered.
+// subscriptionCall returns the latest call as that of a subscription, also after it was answered.
 func (b *Balancer) subscriptionCall() inFlightCall { return inFlightCall{began: b.calls.lastCallAt} }
 
-// takeBack withdraws what may still wait for a connection to a server that takes no new work.
+// cancelUnsentOutOfService cancels attempts that may still wait for a connection to a server that takes no new
+// work.
 func (b *Balancer) cancelUnsentOutOfService() {
 	for _, r := range b.activeRequests {
 		for i := range r.attempts {
@@ -118,8 +121,8 @@
 	}
 }
 
-// list applies a list or the changes to one since a version, by a whole answer. What a server was found to be is kept
-// while it stays the same process; a restart makes it unmeasured again.
+// applyList applies a whole list, or the changes since a version, from a whole answer. What a node has learned
+// of a server is kept while the server's process stays the same; a restarted server has no measurements yet.
 func (b *Balancer) applyList(now time.Duration, origin Origin, kind ListKind, entries []Entry, since int64) {
 	reselect := kind != ListChanges
 	accepted := b.AcceptedEntries(now, origin, entries)
@@ -136,7 +139,7 @@
 	}
 }
 
-// replace puts a whole list in place of the one before. What it does not name is gone.
+// replaceList replaces the current list by a whole list. Servers that it does not name are gone.
 func (b *Balancer) replaceList(now time.Duration, origin Origin, kind ListKind, entries []Entry, accepted []bool) {
 	previous := slices.Clone(b.serverList.Entries)
 	applied := make([]sourcedEntry, 0, len(entries))
@@ -144,13 +147,13 @@
 		if accepted[i] {
 			applied = append(applied, sourcedEntry{Entry: b.admitEntry(now, origin, e), origin: origin, heardAt: now})
 		} else if !b.isFormerIncarnation(now, origin, e) {
-			continue // another line about the server counts
+			continue // another entry for the server counts
 		} else if entry, isListed := b.serverList.Get(e.Server); isListed {
 			applied = append(applied, entry.sourcedEntry)
 		}
 	}
 	b.serverList.Clear()
-	b.serverList.inServiceCount, b.nodesPerServer = 0, 0 // none is worked with before all are known
+	b.serverList.inServiceCount, b.nodesPerServer = 0, 0 // no server joins the subset before all are known
 	for _, s := range b.servers {
 		s.State = StateGone
 	}
@@ -162,19 +165,19 @@
 		notice = noticeByEmptyList
 	}
 	for _, entry := range previous {
-		if _, named := b.serverList.Get(entry.Server); !named {
+		if _, isNamed := b.serverList.Get(entry.Server); !isNamed {
 			b.recordOutOfService(now, origin, entry.Server, entry.StartedAt, notice)
 		}
 	}
 	b.renewUnlistedTombstones(now, origin, notice)
 }
 
-// take takes in one line of changes. It tells whether the subset lost a server by it.
+// admitAndApply applies one entry of changes. It reports whether the subset lost a server by it.
 func (b *Balancer) admitAndApply(now time.Duration, origin Origin, kind ListKind, e Entry) (lost bool) {
 	return b.applyEntry(now, kind, sourcedEntry{Entry: b.admitEntry(now, origin, e), origin: origin, heardAt: now})
 }
 
-// update puts a line into the directory. It tells whether the subset lost a server by it.
+// applyEntry puts an entry into the server list. It reports whether the subset lost a server by it.
 func (b *Balancer) applyEntry(now time.Duration, kind ListKind, entry sourcedEntry) (lost bool) {
 	e := entry.Entry
 	orderKey := uint64(e.Server)
@@ -182,14 +185,17 @@
 		orderKey = uint64(e.Cell)
 	}
 	listed := listedServer{
-		sourcedEntry: entry, position: permutation.Position(orderKey, uint32(b.settings.NodeIndex), uint32(b.settings.NodeCount)),
+		sourcedEntry: entry,
+		position:     permutation.Position(orderKey, uint32(b.settings.NodeIndex), uint32(b.settings.NodeCount)),
 		processStart: b.estimateProcessStart(now, kind, e),
 	}
 	b.serverList.update(listed)
 	s := b.servers[e.Server]
 	if s != nil {
 		if e.StartedAt != s.StartedAt {
-			*s = server{roundingOffset: s.roundingOffset, openDuration: initialOpenDuration, inFlight: s.inFlight, inSubset: s.inSubset}
+			*s = server{
+				roundingOffset: s.roundingOffset, openDuration: initialOpenDuration,
+				inFlight: s.inFlight, inSubset: s.inSubset}
 		}
 		s.Entry, s.processStart, s.inOwnZone = e, listed.processStart, e.Zone == b.settings.Zone
 	}
--- a/policy/observer.go
+++ b/policy/observer.go
@@ -2,48 +2,48 @@
 
 import "time"
 
-// Observer is told of decisions that no action shows, for logs. It decides nothing and must not call
-// back into the Balancer.
+// Observer is told of decisions that no action of the Host shows, for logs. It decides nothing and must not
+// call back into the Balancer.
 type Observer interface {
-	// CallPlanned tells that discovery is called at a time, unless an event changes that before, and
-	// from when on what the node has not heard counts as told (0: it has had no answer yet).
+	// CallPlanned reports when discovery is called next, unless an event changes that before, and the list
+	// deadline: from then on the node is expected to know what it has not heard (0: it has had no answer yet).
 	CallPlanned(at, listDeadline time.Duration)
-	// ListOverdue tells that a change may count as told that the node does not know: what it has heard from
-	// discovery is older than the rules allow, since an instant. It is told once until the node has heard something
-	// newer.
+	// ListOverdue reports that there may be a change that the node is expected to know and does not: since the
+	// given time, what it has heard from discovery is older than the rules allow. It is reported once until the
+	// node has heard something newer.
 	ListOverdue(since time.Duration)
-	// BreakerChanged tells the new state of a server's circuit breaker.
+	// BreakerChanged reports the new state of a server's circuit breaker.
 	BreakerChanged(server ServerID, state BreakerState)
-	// ServerHeld tells that a source lists a server in service that another source, or a later version,
-	// has told to be out: it gets no work until the source has caught up.
+	// ServerHeld reports that a source lists a server in service that another source, or a later version, has
+	// told to be out of service: it gets no work until the source has caught up.
 	ServerHeld(server ServerID, outOrigin, listedOrigin Origin)
 }
 
-// Observe sets the observer; without one nobody is told.
+// Observe sets the observer. Without one, no decision is reported.
 func (b *Balancer) Observe(o Observer) { b.observer = o }
 
-// callPlanned tells the observer of the next call.
+// reportCallPlanned tells the observer of the next call.
 func (b *Balancer) reportCallPlanned() {
 	if b.observer != nil {
 		b.observer.CallPlanned(b.calls.nextAt, b.calls.listDeadline)
 	}
 }
 
-// listOverdue tells the observer of a list that is due.
+// reportListOverdue tells the observer that the list is overdue.
 func (b *Balancer) reportListOverdue() {
 	if b.observer != nil {
 		b.observer.ListOverdue(b.calls.listDeadline)
 	}
 }
 
-// breakerChanged tells the observer of a breaker, if it is no longer as it was before.
+// reportBreakerChange tells the observer the state of a breaker if it differs from the state before.
 func (b *Balancer) reportBreakerChange(s *server, before BreakerState) {
 	if b.observer != nil && s.breaker != before {
 		b.observer.BreakerChanged(s.Server, s.breaker)
 	}
 }
 
-// serverHeld tells the observer of a server that is listed in service and gets no work.
+// reportServerHeld tells the observer of a server that is listed in service and gets no work.
 func (b *Balancer) reportServerHeld(server ServerID, outOrigin, listedOrigin Origin) {
 	if b.observer != nil {
 		b.observer.ServerHeld(server, outOrigin, listedOrigin)
--- a/policy/tombstone.go
+++ b/policy/tombstone.go
@@ -7,100 +7,104 @@
 	"time"
 )
 
-// What a node was told of servers that are out of service, and by whom.
+// Servers that a node was told to be out of service, and the sources that told it.
 //
-// A list is the word of one replica of discovery at one version. The next one may come from a replica that
-// lags, from before, or from another service, so it must not undo that a server was told to drain. Each
-// server that is told to take no new work leaves a tombstone with the origin of that word. It is lifted by
-// a later start of the server, by a later version of the same source, or once any replica must have caught
-// up.
+// A list is the statement of one replica of discovery at one version. The next list may come from a replica
+// that lags, from an earlier time or from another service, so it must not undo that a server was told to drain.
+// Each server that is told to take no new work leaves a tombstone with the origin of that notice. The tombstone
+// is removed by a later start of the server, by a later version of the same source, or once every replica must
+// have caught up.
 
 const (
-	// catchUpMost is how far a replica of discovery may lag behind another one. Discovery tells a change
-	// within toldAfter, and a replica that lags by ten times as much is not in service.
+	// maxReplicaLag is how far a replica of discovery may lag behind another one. Discovery tells a change
+	// within maxListAge, and a replica that lags by ten times as much is not in service.
 	maxReplicaLag = 10 * maxListAge
 
-	// tombstonesKept is how long the tombstone of a server that is not listed is kept, and tombstonesMost
-	// bounds their number: as many as a list may have servers.
+	// tombstoneRetention is how long the tombstone of a server that is not listed is kept. maxTombstones limits
+	// the number of tombstones to as many as a list may have servers.
 	tombstoneRetention   = 10 * time.Minute
-	minTombstonesToSweep = 1 << 10 // that are kept before any is dropped
+	minTombstonesToSweep = 1 << 10 // number of tombstones below which none is dropped
 	maxTombstones        = 256 << 10
 )
 
-// SourceID names a discovery service: versions of equal sources compare. The host chooses it.
+// SourceID identifies a discovery service. Versions compare only where their sources are equal. The host
+// chooses it.
 type SourceID uint64
 
-// Origin tells who said something of servers: a discovery service, and the version of its list.
+// Origin tells where a statement about servers comes from: a discovery service and the version of its list.
 type Origin struct {
 	Source  SourceID
 	Version int64
 }
 
-// UnknownVersion is the version of lines that have come ahead of it: none is known to be later.
+// UnknownVersion is the version of entries that arrive before their version: no version is known to be later.
 const UnknownVersion = math.MaxInt64
 
-// tombstone notes that a life of a server, from one start to the next, takes no new work. Each source that
-// has told so has to tell otherwise.
+// tombstone records that an incarnation of a server, from one start to the next, takes no new work. Each source
+// that has told so has to revoke it.
 type tombstone struct {
-	startedAt time.Duration // of the life, as the list tells it
-	since     time.Duration // when it was told first
+	startedAt time.Duration // start of the incarnation, as the list tells it
+	since     time.Duration // time of the first notice
 	notices   []notice
 }
 
-// notice is the last statement of a source that a life takes no new work.
+// notice is the last statement of a source that an incarnation takes no new work.
 type notice struct {
 	origin  Origin
 	heardAt time.Duration
 	kind    noticeKind
-	stale   bool // it was of an earlier version than the list that the node had from the same source
+	stale   bool // its version was earlier than that of the list that the node had from the same source
 }
 
-// noticeKind tells by what a server was told to be out of service.
+// noticeKind tells what kind of statement took a server out of service.
 type noticeKind uint8
 
 const (
 	noticeByWholeAnswer   noticeKind = iota
-	noticeByPartialAnswer            // by a line of an answer that was not whole, or not taken
-	noticeByEmptyList                // by a whole list without any server, which the same version may correct
+	noticeByPartialAnswer            // an entry of an answer that was incomplete or unusable
+	noticeByEmptyList                // a whole list without any server, which the same version may correct
 )
 
-// undoneBy tells whether a whole answer that says otherwise, or does not name the server, undoes a notice.
+// undoneBy reports whether a whole answer that contradicts a notice, or does not name the server, undoes the
+// notice.
 func (n notice) undoneBy(origin Origin) bool {
 	corrects := n.kind == noticeByEmptyList && origin.Version == n.origin.Version
 	return origin.Source == n.origin.Source && (origin.Version > n.origin.Version || corrects)
 }
 
-// confirmedBy tells whether a whole answer that says the same stands for a notice by a part of an answer.
+// replacedBy reports whether a whole answer that says the same replaces a notice by a partial answer.
 func (n notice) replacedBy(origin Origin) bool {
 	versioned := n.origin.Version != UnknownVersion
-	return n.kind == noticeByPartialAnswer && n.origin.Source == origin.Source && !(versioned && n.origin.Version > origin.Version)
+	return n.kind == noticeByPartialAnswer && n.origin.Source == origin.Source &&
+		!(versioned && n.origin.Version > origin.Version)
 }
 
-// tombstones holds what was told of servers out of service.
+// tombstones holds what the node was told of servers out of service.
 type tombstones struct {
 	byServer     map[ServerID]tombstone
-	held         map[ServerID]sourcedEntry // lines in service of servers that are out
-	sweepAtCount int                       // their number at which old ones are dropped
+	held         map[ServerID]sourcedEntry // entries in service whose servers have a tombstone
+	sweepAtCount int                       // number of tombstones at which old ones are dropped
 }
 
 func newTombstones() tombstones {
-	return tombstones{byServer: map[ServerID]tombstone{}, held: map[ServerID]sourcedEntry{}, sweepAtCount: minTombstonesToSweep}
+	return tombstones{
+		byServer: map[ServerID]tombstone{}, held: map[ServerID]sourcedEntry{}, sweepAtCount: minTombstonesToSweep}
 }
 
-// OutOfService tells whether a server was told to take no new work, and since when.
+// OutOfService reports whether a server was told to take no new work, and since when.
 func (b *Balancer) OutOfService(server ServerID) (since time.Duration, isOut bool) {
 	record, isOut := b.tombstones.byServer[server]
 	return record.since, isOut
 }
 
-// caughtUp tells whether any replica must know by now what a notice tells: the present source may have
-// begun since.
+// hasCaughtUp reports whether every replica must know by now what a notice tells. The time for that counts from
+// the notice or from the start of the current source, whichever is later.
 func (b *Balancer) hasCaughtUp(now time.Duration, n notice) bool {
 	return now >= max(n.heardAt, b.sourceFollowedSince)+maxReplicaLag
 }
 
-// recordOut notes that a life of a server takes no new work: the one that is known, where the line does not date a
-// later start.
+// recordOutOfService records that an incarnation of a server takes no new work: the known one, unless the given
+// start is later.
 func (b *Balancer) recordOutOfService(
 	now time.Duration, origin Origin, server ServerID, startedAt time.Duration, kind noticeKind,
 ) {
@@ -130,7 +134,7 @@
 	}
 }
 
-// lift takes the notices from a tombstone that are undone. It tells whether none is left.
+// removeNotices removes the notices from a tombstone that are undone. It reports whether none is left.
 func (b *Balancer) removeNotices(server ServerID, undone func(n notice) bool) bool {
 	record := b.tombstones.byServer[server]
 	record.notices = slices.DeleteFunc(record.notices, undone)
@@ -142,7 +146,7 @@
 	return false
 }
 
-// renewUnnamed has a whole list tell again that servers are out of service that it does not name.
+// renewUnlistedTombstones records that a whole list confirms the tombstones of servers that it does not name.
 func (b *Balancer) renewUnlistedTombstones(now time.Duration, origin Origin, kind noticeKind) {
 	for server, record := range b.tombstones.byServer {
 		if _, isListed := b.serverList.Get(server); !isListed {
@@ -151,7 +155,7 @@
 	}
 }
 
-// sweepTombstones drops those that are old, and those of unknown servers if there are very many.
+// sweepTombstones drops old tombstones, and those of unknown servers where there are too many.
 func (b *Balancer) sweepTombstones(now time.Duration) {
 	records := b.tombstones.byServer
 	tooMany := len(records) >= maxTombstones
@@ -166,8 +170,8 @@
 	b.tombstones.sweepAtCount = max(minTombstonesToSweep, min(2*len(records), max(maxTombstones, len(records)*9/8)))
 }
 
-// admitLine gives a line of a whole answer as it counts: one that puts a server into service is held while
-// its tombstone is in force.
+// admitEntry returns an entry of a whole answer as it counts: one that puts a server into service is held while
+// the server's tombstone is in force.
 func (b *Balancer) admitEntry(now time.Duration, origin Origin, e Entry) Entry {
 	delete(b.tombstones.held, e.Server)
 	if e.State != StateInService {
@@ -186,9 +190,9 @@
 	return e
 }
 
-// Counted tells which lines of a list or of changes say something: not those about an earlier start of their
-// server than the one that is known, as a replica that lags may tell it, and of several lines about a server the
-// last one of its latest start.
+// AcceptedEntries reports which entries of a list or of changes count. An entry about an earlier start of its
+// server than the known one does not, as a replica that lags may send it. Of several entries for a server, the
+// last one about its latest start counts.
 func (b *Balancer) AcceptedEntries(now time.Duration, origin Origin, entries []Entry) []bool {
 	b.followSource(now, origin)
 	accepted := make([]bool, len(entries))
@@ -208,19 +212,19 @@
 	return accepted
 }
 
-// formerLife tells whether a line is about an earlier start of its server than the one that is known.
+// isFormerIncarnation reports whether an entry is about an earlier start of its server than the known one.
 func (b *Balancer) isFormerIncarnation(now time.Duration, origin Origin, e Entry) bool {
 	listed, isListed := b.serverList.Get(e.Server)
 	if !isListed || e.StartedAt >= listed.StartedAt || e.StartedAt == 0 && e.State != StateInService {
-		return false // a line without a date may be about any start
+		return false // an entry without a start time may be about any start
 	}
 	isLater := origin.Source == listed.origin.Source && origin.Version > listed.origin.Version
 	return !isLater && now < max(listed.heardAt, b.sourceFollowedSince)+maxReplicaLag
 }
 
-// releaseHeld puts servers into service that changes of the present source since a version leave as they were:
-// notices of earlier answers that were not whole are undone by changes that span their version, and any once
-// its source must have caught up.
+// releaseHeld puts held servers into service after changes of the current source since a version. The changes
+// undo notices by earlier partial answers about servers that they do not name, if they span the version of the
+// notice. Notices that every replica must know by now are undone in any case.
 func (b *Balancer) releaseHeld(now time.Duration, origin Origin, since int64, named []Entry) {
 	held := b.tombstones.held
 	if len(held) == 0 {
@@ -228,11 +232,11 @@
 	}
 	isNamed := serverSet(named)
 	for _, server := range slices.Sorted(maps.Keys(held)) {
-		lifted := b.removeNotices(server, func(n notice) bool {
+		isReleased := b.removeNotices(server, func(n notice) bool {
 			isSpanned := n.undoneBy(origin) && (n.stale || since < n.origin.Version)
 			return n.kind == noticeByPartialAnswer && !isNamed[server] && isSpanned || b.hasCaughtUp(now, n)
 		})
-		if !lifted {
+		if !isReleased {
 			continue
 		}
 		entry := held[server]
@@ -241,8 +245,9 @@
 	}
 }
 
-// leaving takes in what lines take out of service that are of an answer that is not whole, or can't be
-// taken: nothing else of it counts. Of a whole list of an earlier version, what it does not name is out too.
+// applyPartial applies the entries of an incomplete or unusable answer that take servers out of service; nothing
+// else of it counts. A whole list of an earlier version also takes the servers that it does not name out of
+// service.
 func (b *Balancer) applyPartial(now time.Duration, origin Origin, kind ListKind, entries []Entry) {
 	lost := false
 	for _, e := range entries {
@@ -258,7 +263,7 @@
 	}
 }
 
-// serversOf gives the servers that lines name.
+// serverSet returns the set of servers that entries name.
 func serverSet(entries []Entry) map[ServerID]bool {
 	servers := make(map[ServerID]bool, len(entries))
 	for _, entry := range entries {
@@ -267,7 +272,8 @@
 	return servers
 }
 
-// withdrawUnnamed takes servers out of service that a list does not name.
+// takeUnnamedOutOfService takes servers out of service that a list does not name. It reports whether the subset
+// lost one.
 func (b *Balancer) takeUnnamedOutOfService(now time.Duration, origin Origin, entries []Entry) (lost bool) {
 	isNamed := serverSet(entries)
 	for _, listed := range slices.Clone(b.serverList.Entries) {
@@ -278,8 +284,10 @@
 	return lost
 }
 
-// withdraw takes a server out of service until a whole answer decides. It tells whether the subset lost it.
-func (b *Balancer) takeOutOfService(now time.Duration, origin Origin, server ServerID, startedAt time.Duration) (lost bool) {
+// takeOutOfService takes a server out of service until a whole answer decides. It reports whether the subset
+// lost the server.
+func (b *Balancer) takeOutOfService(
+	now time.Duration, origin Origin, server ServerID, startedAt time.Duration) (lost bool) {
 	b.recordOutOfService(now, origin, server, startedAt, noticeByPartialAnswer)
 	listed, isListed := b.serverList.Get(server)
 	if !isListed || listed.State != StateInService {
