--- a/policy/calls_test.go
+++ b/policy/calls_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// askingRig is a node of a fleet that has to ask for its list, and has just started with a known one.
+// newOnRequestRunner returns a node of a fleet whose list comes on request. The node has just started with a
+// cached list.
 func newOnRequestRunner(t *testing.T, nodes int, seed uint64, confirm bool) *runner {
 	t.Helper()
 	settings := testSettings()
@@ -20,17 +21,17 @@
 	return r
 }
 
-// nextCall passes time until the next call begins.
+// awaitNextCall advances the time until the next call begins.
 func (r *runner) awaitNextCall(deadline time.Duration) {
 	r.t.Helper()
 	for calls := r.host.callCount; r.host.callCount == calls; r.advance(5 * ms) {
 		if r.now > deadline {
-			r.t.Fatalf("no call for %v", r.now-deadline)
+			r.t.Fatalf("no call begins until %v after the time allowed", r.now-deadline)
 		}
 	}
 }
 
-// eachFleet runs a test for nodes of small and large fleets.
+// forEachFleetSize runs a test for nodes of small and large fleets.
 func forEachFleetSize(t *testing.T, test func(t *testing.T, nodes int, seed uint64)) {
 	t.Helper()
 	for _, nodes := range []int{1, 5, 300, 900} {
@@ -40,28 +41,29 @@
 	}
 }
 
-// Guards rule 3 after a restart: what changed while the node was down may be due already, so nothing is
-// sent by the list of before until discovery has told what changed.
+// Guards the drain rule (no request goes to a server that the node is expected to know to be out of service) after
+// a restart: the node may already be expected to know what changed while it was down, so nothing is sent by the
+// cached list until discovery has told what changed.
 func TestNothingIsSentByAListThatIsNotConfirmed(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, nodes int, seed uint64) {
 		r := newOnRequestRunner(t, nodes, seed, true)
 		early := r.sendRequest(0)
 		if _, refused := r.host.refused[early]; !refused || len(r.host.sends) > 0 || r.host.readyCount > 0 {
-			t.Fatalf("%d nodes: a request before the list is confirmed: refused %t, sends %v", nodes, refused, r.host.sends)
+			t.Fatalf("%d nodes: request before the list is confirmed: refused %t, sends %v, want refused and no sends", nodes, refused, r.host.sends)
 		}
 		r.awaitNextCall(r.now + 7*time.Second)
 		r.deliverList(ListChanges, Entry{Server: 2, State: StateGone}, Entry{Server: 3, State: StateGone})
 		if r.host.readyCount != 1 {
-			t.Fatalf("%d nodes: told ready %d times once the list is confirmed", nodes, r.host.readyCount)
+			t.Fatalf("%d nodes: node reported ready %d times after the list was confirmed, want once", nodes, r.host.readyCount)
 		}
-		// Which of the servers is left depends on nothing but the change.
+		// The server that is left depends on the change alone.
 		if id := r.sendRequest(0); len(r.serversSentTo(id)) != 1 || r.serversSentTo(id)[0] != 1 {
-			t.Fatalf("%d nodes: sent to %v, want the server that is left", nodes, r.serversSentTo(id))
+			t.Fatalf("%d nodes: request sent to %v, want the server that is left", nodes, r.serversSentTo(id))
 		}
 	})
 }
 
-// A discovery that can't be reached does not keep a node from serving for ever.
+// Guards against a node that never serves because discovery can't be reached.
 func TestCachedListServesEventuallyWithoutDiscovery(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, nodes int, seed uint64) {
 		r := newOnRequestRunner(t, nodes, seed, true)
@@ -73,11 +75,11 @@
 				r.deliverList(ListFailed)
 			}
 			if r.now-start > 9*time.Second {
-				t.Fatalf("%d nodes: not ready after %v", nodes, r.now-start)
+				t.Fatalf("%d nodes: node is not ready after %v", nodes, r.now-start)
 			}
 		}
 		if r.now-start < 4*time.Second {
-			t.Fatalf("%d nodes: ready after %v, while discovery may be slow", nodes, r.now-start)
+			t.Fatalf("%d nodes: node is ready after %v, want at least 4 s as discovery may be slow", nodes, r.now-start)
 		}
 		for ; r.now < start+maxConfirmationWait-5*ms; r.advance(5 * ms) {
 			if r.host.callCount > calls {
@@ -85,25 +87,26 @@
 				r.deliverList(ListFailed)
 			}
 			if id := r.sendRequest(0); len(r.serversSentTo(id)) > 0 {
-				t.Fatalf("%d nodes: the known list serves after %v", nodes, r.now-start)
+				t.Fatalf("%d nodes: the unconfirmed list serves a request after %v", nodes, r.now-start)
 			}
 		}
 		r.advance(10 * ms)
 		if id := r.sendRequest(0); len(r.serversSentTo(id)) != 1 {
-			t.Fatalf("%d nodes: the known list does not serve after %v", nodes, r.now-start)
+			t.Fatalf("%d nodes: the cached list does not serve a request after %v", nodes, r.now-start)
 		}
 		if r.host.callCount > calls {
-			r.deliverList(ListFailed) // a call that began in the very moment
+			r.deliverList(ListFailed) // a call that began at this very moment
 		}
 		r.awaitNextCall(r.now + maxCallPeriod)
 		r.deliverList(ListWhole, inServiceEntries(1, 1)...)
 		if r.host.readyCount != 1 {
-			t.Fatalf("%d nodes: told ready %d times", nodes, r.host.readyCount)
+			t.Fatalf("%d nodes: node reported ready %d times, want once", nodes, r.host.readyCount)
 		}
 	})
 }
 
-// What an agent has counts as told from the first moment of a node: a list of before never serves unconfirmed.
+// Guards against requests sent by an unconfirmed list: a node is expected to know the list of its agent from
+// the start on, so a cached list never serves unconfirmed.
 func TestPushedListServesOnlyOnceItIsConfirmed(t *testing.T) {
 	settings := testSettings()
 	settings.ConfirmCachedList, settings.LongPolling = true, true
@@ -115,32 +118,32 @@
 	r := &runner{t: t, b: b, host: h, now: time.Hour}
 	r.deliverList(ListCached, inServiceEntries(1, 3)...)
 	if r.advance(2 * time.Minute); h.readyCount != 1 {
-		t.Fatalf("told ready %d times while the agent is silent", h.readyCount)
+		t.Fatalf("node reported ready %d times while the agent is silent, want once", h.readyCount)
 	}
 	if id := r.sendRequest(0); len(r.serversSentTo(id)) > 0 {
-		t.Fatal("a request is sent by a list that is not confirmed")
+		t.Fatal("a request is sent by an unconfirmed list")
 	}
 	r.deliverList(ListWhole, inServiceEntries(2, 3)...)
 	if id := r.sendRequest(0); len(r.serversSentTo(id)) != 1 || h.readyCount != 1 {
-		t.Fatalf("sends %v, told ready %d times, once the list is confirmed", h.sends, h.readyCount)
+		t.Fatalf("sends %v and %d reports of ready after the list was confirmed, want one of each", h.sends, h.readyCount)
 	}
 }
 
-// Nobody waits to be confirmed where that is not asked for, as in the simulator.
+// Guards against a node that waits for confirmation though the settings do not ask for it, as in the simulator.
 func TestListServesAtOnceWhereItNeedNotBeConfirmed(t *testing.T) {
 	r := newOnRequestRunner(t, 300, 1, false)
 	if id := r.sendRequest(0); len(r.serversSentTo(id)) != 1 || r.host.readyCount != 1 {
-		t.Fatalf("sends %v, told ready %d times", r.host.sends, r.host.readyCount)
+		t.Fatalf("sends %v and %d reports of ready, want one of each", r.host.sends, r.host.readyCount)
 	}
 }
 
-// Guards rule 3 after several failures in a row: what the node has not heard counts as told toldAfter
-// after its last answer, whenever its watch broke and however often calls have failed since.
+// Guards the drain rule after several failures in a row: the node is expected to know a change maxListAge after
+// its last answer, whenever its watch broke and however often calls have failed since.
 func TestCallsThatFailInARowAreMadeBeforeTheListIsDue(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, nodes int, seed uint64) {
 		for _, broken := range []struct {
 			kind  ListKind
-			after time.Duration // since the last answer
+			after time.Duration // time since the last answer
 		}{{ListFailed, 0}, {ListFailed, 2500 * ms}, {ListSilent, 3 * time.Second}} {
 			r := newOnRequestRunner(t, nodes, seed, true)
 			r.awaitNextCall(r.now + 7*time.Second)
@@ -149,9 +152,9 @@
 			r.advance(broken.after)
 			r.deliverList(broken.kind)
 			for failures := range 2 {
-				r.awaitNextCall(due - 250*ms) // and some time for the answer
+				r.awaitNextCall(due - 250*ms) // leaves time for the answer
 				if failures == 0 && r.now > due-900*ms {
-					t.Fatalf("%d nodes: the first call after the watch comes %v before the list is due", nodes, due-r.now)
+					t.Fatalf("%d nodes: the first call after the watch ended comes only %v before the list deadline", nodes, due-r.now)
 				}
 				r.advance(20 * ms)
 				r.deliverList(ListFailed)
@@ -160,7 +163,8 @@
 	})
 }
 
-// Guards rule 3 after a reload: what the other address has counts as told movedAfter later.
+// Guards the drain rule after a reload: the node is expected to know the list of the new address within
+// maxAddressChangeDelay.
 func TestCallsToAnotherAddressAreMadeBeforeItsListIsDue(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, nodes int, seed uint64) {
 		r := newOnRequestRunner(t, nodes, seed, true)
@@ -177,7 +181,7 @@
 	})
 }
 
-// A reload drops the call that was due before it: one call is made, not two.
+// Guards against two calls after a reload, which cancels the call that was planned before it.
 func TestReloadMakesOneCall(t *testing.T) {
 	r := newOnRequestRunner(t, 300, 1, true)
 	r.deliverList(ListAddressChanged)
@@ -186,12 +190,12 @@
 	r.deliverList(ListWhole, inServiceEntries(1, 3)...)
 	calls := r.host.callCount
 	if r.advance(10 * time.Second); r.host.callCount != calls {
-		t.Errorf("%d calls are made while the watch is open", r.host.callCount-calls)
+		t.Errorf("%d calls begin while the watch is open", r.host.callCount-calls)
 	}
 }
 
-// A long outage must not make the node deaf: calls come no further apart than what is had at
-// discovery's return may wait.
+// Guards against a node that notices the end of a long outage too late: calls come no further apart than the
+// node may take to learn of changes.
 func TestEndOfALongOutageIsNoticedInTime(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, nodes int, seed uint64) {
 		for _, took := range []time.Duration{ms, 2 * time.Second} {
@@ -209,7 +213,8 @@
 	})
 }
 
-// A long answer is not asked for once more while it comes in, and is once it has stopped.
+// Guards against a second call while a long answer is arriving, and against further waiting once it has stopped
+// arriving.
 func TestArrivingAnswerIsNotLate(t *testing.T) {
 	for _, nodes := range []int{1, 300} {
 		r := newPollingRunner(t, false, nodes, 1)
@@ -220,15 +225,15 @@
 			r.b.CallProgress(r.now, id, bytes)
 		}
 		if r.host.callCount != calls {
-			t.Errorf("%d nodes: %d calls begin while an answer comes in", nodes, r.host.callCount-calls)
+			t.Errorf("%d nodes: %d calls begin while an answer arrives", nodes, r.host.callCount-calls)
 		}
 		if r.advance(6 * time.Second); r.host.callCount == calls {
-			t.Errorf("%d nodes: no call begins though the answer has stopped", nodes)
+			t.Errorf("%d nodes: no call begins though the answer has stopped arriving", nodes)
 		}
 	}
 }
 
-// An answer that trickles is late as any other.
+// Guards against waiting for an answer that arrives too slowly: it is late like any other.
 func TestAnswerThatTricklesIsLate(t *testing.T) {
 	r := newPollingRunner(t, false, 1, 1)
 	calls, id := r.host.callCount, r.latestCall()
@@ -237,6 +242,6 @@
 		r.b.CallProgress(r.now, id, 400*i)
 	}
 	if r.host.callCount == calls {
-		t.Error("no call begins beside an answer that trickles")
+		t.Error("no call begins beside an answer that arrives too slowly")
 	}
 }
--- a/policy/clock_test.go
+++ b/policy/clock_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Guards slow start and breakers against a wall clock that was stepped after this node read its own: a
-// start that seems to lie ahead left its server cold for as long, and no failure opened its breaker; one
-// that seems long past made a cold server pass for a warm one.
+// Guards slow start and breakers against a wall clock that was stepped after this node read its own. A start
+// that seems to lie ahead left its server cold until then, and no failure opened its breaker; a start that
+// seems long past made a cold server pass for a warm one.
 func TestStartIsDatedByThisNodesClock(t *testing.T) {
 	for name, step := range map[string]time.Duration{
 		"no step": 0, "a second ahead": time.Second, "an hour ahead": time.Hour, "an hour back": -time.Hour,
@@ -24,23 +24,23 @@
 			s := r.b.servers[1]
 			share := func() float64 { return r.b.capacityShare(s.processStart, r.now) }
 			if share() > 0.6 {
-				t.Errorf("a server that has just started counts as %.2f warm", share())
+				t.Errorf("a server that has just started has a capacity share of %.2f, want at most 0.6", share())
 			}
 			if r.advance(settings.Rules.ColdDuration); share() < 1 {
-				t.Errorf("a server counts as %.2f warm after the time in which it is at most", share())
+				t.Errorf("a server has a capacity share of %.2f after the cold duration, want 1", share())
 			}
 			for range failuresToOpen {
 				a := attempt{server: s, sentAt: r.now}
 				r.b.recordFailure(r.now, &a, false)
 			}
 			if s.breaker != open {
-				t.Error("its breaker can't open")
+				t.Error("the breaker of the server does not open")
 			}
 		})
 	}
 }
 
-// A list that names the same process again does not date it anew.
+// Guards against a new start time for a process that a list names again.
 func TestProcessIsDatedOnce(t *testing.T) {
 	settings := testSettings()
 	r := newRunner(t, settings, 2)
@@ -52,16 +52,16 @@
 	r.deliverList(ListChanges, again)
 	r.deliverList(ListWhole, again, inServiceEntries(2, 2)[0])
 	if got := r.b.servers[1].processStart; got != first {
-		t.Errorf("dated %v, and %v later %v", first, r.now-first, got)
+		t.Errorf("process start is %v, and %v later %v", first, r.now-first, got)
 	}
 	again.StartedAt += time.Second
 	r.deliverList(ListChanges, again)
 	if got := r.b.servers[1].processStart; got != r.now {
-		t.Errorf("a further start is dated %v, want %v", got, r.now)
+		t.Errorf("process start of a further start is %v, want %v", got, r.now)
 	}
 }
 
-// An outcome of an attempt that went to this process counts, whatever the wall clock of its start.
+// Guards against ignoring outcomes of attempts at the current process because of the wall clock of its start.
 func TestOutcomesCountAfterAStepOfTheWallClock(t *testing.T) {
 	r := newRunner(t, testSettings(), 1)
 	r.deliverList(ListWhole, Entry{Server: 1, State: StateInService, StartedAt: r.now + time.Hour, Weight: 1})
--- a/policy/crowded_return_test.go
+++ b/policy/crowded_return_test.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// crowdedDiscovery is a model of discovery that works through calls in turn and refuses at once, at no cost,
-// those that would wait for too long. While it is down a call fails after some time.
+// queueingDiscovery is a model of discovery that works through calls in turn. It refuses calls that would wait
+// for too long, at once and at no cost. While it is down, calls fail after some time.
 type queueingDiscovery struct {
-	callDuration        time.Duration // it works so long on a call
-	maxWait             time.Duration // and takes none that would wait longer
-	failAfter           time.Duration // a call that comes while it is down fails after this
-	downFrom, downUntil time.Duration // it is down
-	freeAt              time.Duration // it is done with all calls so far
+	callDuration        time.Duration // time that it works on a call
+	maxWait             time.Duration // longest time that a call may wait
+	failAfter           time.Duration // time after which a call fails that comes while it is down
+	downFrom, downUntil time.Duration // it is down between these times
+	freeAt              time.Duration // time at which it has worked through all calls so far
 }
 
-// refusedAfter is how long a refusal takes to its node.
+// refusalDelay is how long a refusal takes to reach its node.
 const refusalDelay = 10 * ms
 
-// call takes a call and tells when its node hears of it, and whether it is answered.
+// receive takes a call. It returns when the call ends at its node, and whether it is answered.
 func (d *queueingDiscovery) receive(now time.Duration) (endsAt time.Duration, answered bool) {
 	if now >= d.downFrom && now < d.downUntil {
 		return now + d.failAfter, false
@@ -33,17 +33,17 @@
 	return done, true
 }
 
-// returnRig is a node of a fleet before a crowdedDiscovery.
+// recoveringNode is a node of a fleet that calls a queueingDiscovery.
 type recoveringNode struct {
 	*runner
-	callsSeen int           // calls of the host that were looked at
-	endsAt    time.Duration // of the call that is out; 0: none
+	callsSeen int           // calls of the host that were taken so far
+	endsAt    time.Duration // end of the call in flight; 0: there is none
 	callID    CallID
-	answered  bool // it is
-	recovered bool // the node, since discovery's return
+	answered  bool // the call in flight will be answered
+	recovered bool // the node has had an answer since discovery is up again
 }
 
-// play passes time up to now and has discovery take the calls that began.
+// advanceTo advances the time and has discovery take the calls that began.
 func (r *recoveringNode) advanceTo(now time.Duration, d *queueingDiscovery) {
 	r.advance(now - r.now)
 	if r.endsAt > 0 && now >= r.endsAt {
@@ -62,16 +62,17 @@
 		switch {
 		case call.Reason != CallReasonNext:
 			r.endsAt, r.answered = d.receive(now)
-		case r.recovered: // to go on with a watch costs discovery nothing
+		case r.recovered: // continuing a watch costs discovery nothing
 			r.endsAt, r.answered = now+call.WaitForChanges, true
-		default: // a watch ends as discovery goes down
+		default: // watches end when discovery goes down
 			r.endsAt, r.answered = d.downFrom, false
 		}
 	}
 }
 
-// Guards rule 3 after an outage: all nodes of a fleet call in vain together, and together again once discovery
-// is back, which refuses some of them at once. Each has to hear it within toldAfter all the same.
+// Guards the drain rule after an outage: all nodes of a fleet call in vain together, and together again once
+// discovery is back, which refuses some of them at once. Each of them has to get an answer within maxListAge
+// all the same.
 func TestFleetIsAnsweredByABusyDiscoveryInTimeAfterAnOutage(t *testing.T) {
 	for _, c := range []struct {
 		nodes    int
@@ -90,13 +91,13 @@
 			}
 		}
 		if late > 0 {
-			t.Errorf("%d nodes, %v a call, which waits for %v at most: in %d of %d outages a node hears later than %v, the last one %v after the return",
+			t.Errorf("%d nodes, %v a call, which waits for %v at most: in %d of %d outages a node has its answer later than %v, the last one %v after the outage",
 				c.nodes, c.callFor, c.waitMost, late, c.seeds, maxListAge, longest)
 		}
 	}
 }
 
-// returnAfterOutage plays an outage and gives the time from its end until the last node has heard discovery.
+// recoveryTime simulates an outage and returns the time from its end until the last node has had an answer.
 func recoveryTime(t *testing.T, nodes int, callDuration, maxWait time.Duration, seed uint64) time.Duration {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 7))
@@ -125,7 +126,7 @@
 			return now - d.downUntil
 		}
 		if now > d.downUntil+time.Minute {
-			t.Fatal(fmt.Sprintf("%d nodes, seed %d: not all have heard discovery a minute after its return", nodes, seed))
+			t.Fatal(fmt.Sprintf("%d nodes, seed %d: not all nodes have had an answer a minute after the outage", nodes, seed))
 		}
 	}
 }
--- a/policy/discovery_faults_test.go
+++ b/policy/discovery_faults_test.go
@@ -10,56 +10,57 @@
 	"time"
 )
 
-// modelFault is what a model of discovery does with calls from an instant on.
+// discoveryFault is what a model of discovery does with calls.
 type discoveryFault struct {
 	name            string
-	callDelay       time.Duration // a call reaches it so late,
-	answerDelay     time.Duration // and its answer the node
-	refuseShare     float64       // share of calls that it refuses at once,
-	lateRefuseShare float64       // of those that it refuses after crowdsFor (0: 2 s),
-	noAnswerShare   float64       // of those that it never answers,
-	unusableShare   float64       // and of those whose answer can't be taken
-	from            time.Duration // it strikes from then on, counted from the first answer,
-	to              time.Duration // and up to then; 0: to the end
-	noChangesBefore time.Duration // nothing changes before
+	callDelay       time.Duration // time that a call takes to reach discovery
+	answerDelay     time.Duration // time that an answer takes to reach the node
+	refuseShare     float64       // share of calls that it refuses at once
+	lateRefuseShare float64       // share of calls that it refuses after lateRefuseAfter
+	noAnswerShare   float64       // share of calls that it never answers
+	unusableShare   float64       // share of calls whose answer is unusable
+	from            time.Duration // start of the fault, counted from the first answer
+	to              time.Duration // end of the fault; 0: it does not end
+	noChangesBefore time.Duration // no change is made before
 
 	lateRefuseAfter time.Duration
 }
 
-// modelChange is a change that discovery has.
+// modelChange is a change that discovery has, with the time by which the node has to know it.
 type modelChange struct{ madeAt, deadline time.Duration }
 
-// modelRun plays a node before a model of discovery.
+// discoveryRun runs a node against a model of discovery.
 type discoveryRun struct {
 	*runner
 	fault         discoveryFault
 	pushed        bool
 	rng           *rand.Rand
-	firstAnswerAt time.Duration // the first answer
+	firstAnswerAt time.Duration // time of the first answer
 	changes       []modelChange
-	callsSeen     int // calls of the host that were looked at
+	callsSeen     int // calls of the host that were taken so far
 	inFlight      map[CallID]*modelCall
-	knownChanges  int // changes that the node knows
+	knownChanges  int // number of changes that the node knows
 	mostInFlight  int
-	callTimes     []time.Duration // when each call came
+	callTimes     []time.Duration // time of each call
 
-	faultCycle      []discoveryFault // strike calls in turn, in place of the fault,
-	faultCycleSince time.Duration    // from then on
+	faultCycle      []discoveryFault // if set, calls meet these faults in turn, in place of fault
+	faultCycleSince time.Duration    // start of the faults in turn
 }
 
-// modelCall is a call under way in the model.
+// modelCall is a call of the node that is in flight.
 type modelCall struct {
 	sinceVersion  int
-	arrivesAt     time.Duration // at discovery
-	waitsUntil    time.Duration // it waits for changes
-	answerTransit time.Duration // what the answer takes to the node
+	arrivesAt     time.Duration // time at discovery
+	waitsUntil    time.Duration // discovery waits for changes until then
+	answerTransit time.Duration // time that the answer takes to reach the node
 	result        CallResult
 	neverAnswered bool
-	endsAt        time.Duration // at the node; 0: it waits for changes still
-	version       int           // the version
-	missesChanges bool          // it brings the version that it asked from
+	endsAt        time.Duration // time at the node; 0: discovery still waits for changes
+	version       int           // version that the answer brings
+	missesChanges bool          // the answer brings the version that the call named
 }
 
+// newDiscoveryRun returns a run whose node has just started with a cached list.
 func newDiscoveryRun(t *testing.T, pushed bool, nodes int, seed uint64, fault discoveryFault) *discoveryRun {
 	t.Helper()
 	settings := testSettings()
@@ -78,13 +79,13 @@
 	return m
 }
 
-// strikes tells whether the fault is there at a time.
+// isFaultActive reports whether the fault is active at a time.
 func (m *discoveryRun) isFaultActive(at time.Duration) bool {
 	since := at - m.firstAnswerAt
 	return m.firstAnswerAt > 0 && since >= m.fault.from && (m.fault.to == 0 || since < m.fault.to)
 }
 
-// begin takes a call in.
+// beginCall has discovery take a call.
 func (m *discoveryRun) beginCall(call Call) {
 	m.callTimes = append(m.callTimes, m.now)
 	c := &modelCall{sinceVersion: m.knownChanges, arrivesAt: m.now + 2*ms, answerTransit: 3 * ms}
@@ -111,7 +112,7 @@
 	m.mostInFlight = max(m.mostInFlight, len(m.inFlight))
 }
 
-// step lets some time pass and hands on what comes of calls.
+// advanceStep advances the time by a step and delivers the answers that are due.
 func (m *discoveryRun) advanceStep(d time.Duration) {
 	m.advance(d)
 	for _, id := range m.host.endedCalls {
@@ -121,7 +122,7 @@
 	for ; m.callsSeen < len(m.host.calls); m.callsSeen++ {
 		m.beginCall(m.host.calls[m.callsSeen])
 	}
-	for _, call := range slices.Sorted(maps.Keys(m.inFlight)) { // in their order, so that a seed gives one run
+	for _, call := range slices.Sorted(maps.Keys(m.inFlight)) { // in order, so that a seed always gives the same run
 		c := m.inFlight[call]
 		if c.neverAnswered {
 			continue
@@ -140,6 +141,7 @@
 	}
 }
 
+// endCall delivers the end of a call.
 func (m *discoveryRun) endCall(id CallID, c *modelCall) {
 	changed := c.result == CallAnswered && c.version > c.sinceVersion
 	if c.result == CallAnswered {
@@ -152,7 +154,7 @@
 	m.b.CallEnded(m.now, CallEnd{ID: id, Result: c.result, Changed: changed, UnusableBytes: 2000})
 }
 
-// change makes a change, and notes by when it counts as told.
+// makeChange makes a change and notes by when the node has to know it.
 func (m *discoveryRun) makeChange() {
 	deadline := m.now
 	if !m.pushed {
@@ -164,8 +166,8 @@
 	m.changes = append(m.changes, modelChange{m.now, deadline})
 }
 
-// play has changes come at random for some time, and gives how late the latest one was known, counted
-// from when it counted as told, and how many were late.
+// playRandomChanges makes changes at random times for the given time. It returns how long after its deadline
+// the latest change was known, and how many were late.
 func (m *discoveryRun) playRandomChanges(length time.Duration) (latest time.Duration, late int) {
 	const step = 5 * ms
 	for m.firstAnswerAt == 0 {
@@ -185,16 +187,16 @@
 			}
 		}
 		if m.now > m.firstAnswerAt+length+2*time.Minute {
-			m.t.Fatalf("a change is not known %v after it counted as told", m.now-m.changes[checked].deadline)
+			m.t.Fatalf("a change is not known %v after its deadline", m.now-m.changes[checked].deadline)
 		}
 	}
 	return latest, late
 }
 
-// faultsBorne are faults of discovery that a node bears in time, asked in fleets of some size at most.
+// toleratedFaults are faults of discovery under which a node knows changes in time in fleets up to a size.
 var toleratedFaults = []struct {
 	discoveryFault
-	nodes int // at most; 0: any
+	nodes int // largest fleet; 0: any
 }{
 	{discoveryFault{name: "none"}, 0},
 	{discoveryFault{name: "calls late by 1 s", callDelay: time.Second}, 0},
@@ -214,30 +216,30 @@
 	{discoveryFault{name: "refuses for 75 s", refuseShare: 1, from: 5 * time.Second, to: 80 * time.Second}, 0},
 	{discoveryFault{name: "refuses after 2 s for 45 s", lateRefuseShare: 1, from: 5 * time.Second, to: 50 * time.Second}, 0},
 	{discoveryFault{name: "refuses after 2 s for 75 s", lateRefuseShare: 1, from: 5 * time.Second, to: 80 * time.Second}, 8},
-	{discoveryFault{name: "silent for 2 s", noAnswerShare: 1, from: 5 * time.Second, to: 7 * time.Second}, 0},
-	{discoveryFault{name: "silent for 75 s", noAnswerShare: 1, from: 5 * time.Second, to: 80 * time.Second}, 0},
+	{discoveryFault{name: "never answers for 2 s", noAnswerShare: 1, from: 5 * time.Second, to: 7 * time.Second}, 0},
+	{discoveryFault{name: "never answers for 75 s", noAnswerShare: 1, from: 5 * time.Second, to: 80 * time.Second}, 0},
 }
 
 const (
-	maxLateness = 300 * ms // what a change may be late by
+	maxLateness = 300 * ms // time by which a change may be late
 	modelSeeds  = 4
 )
 
-// playFault plays some seeds of a fault and checks that each change is known in time.
+// requireChangesKnownInTime runs some seeds of a fault and checks that each change is known in time.
 func requireChangesKnownInTime(t *testing.T, pushed bool, nodes int, fault discoveryFault) {
 	t.Helper()
 	for seed := range uint64(modelSeeds) {
 		m := newDiscoveryRun(t, pushed, nodes, seed, fault)
 		if late, _ := m.playRandomChanges(max(40*time.Second, fault.to+20*time.Second)); late > maxLateness {
-			t.Errorf("%s, pushed %t, %d nodes, seed %d: a change is known %v after it counted as told", fault.name, pushed, nodes, seed, late)
+			t.Errorf("%s, pushed %t, %d nodes, seed %d: the node knows a change %v after its deadline", fault.name, pushed, nodes, seed, late)
 		}
 		if m.mostInFlight > maxCallsInFlight {
-			t.Errorf("%s, %d nodes: %d calls are out at once", fault.name, nodes, m.mostInFlight)
+			t.Errorf("%s, %d nodes: %d calls are in flight at once", fault.name, nodes, m.mostInFlight)
 		}
 	}
 }
 
-// Guards rule 3 under faults of discovery: what changes is known in the time that the rules allow, however
+// Guards the drain rule under faults of discovery: changes are known in the time that the rules allow, however
 // late answers come, whatever share of calls fails and however long an outage was.
 func TestChangesAreKnownInTimeUnderFaultsOfDiscovery(t *testing.T) {
 	for _, fault := range toleratedFaults {
@@ -249,8 +251,8 @@
 	}
 }
 
-// The same where calls fail by chance. Some changes are late then, as a fleet must not call as often as
-// chance asks for: few, and never for long.
+// Guards the drain rule where calls fail at random. Some changes are late then, as a fleet must not call so
+// often that none is: these are few, and never late for long.
 func TestChangesAreKnownUnderRandomFaults(t *testing.T) {
 	for _, fault := range []discoveryFault{
 		{name: "refuses one of five", refuseShare: 0.2},
@@ -258,8 +260,8 @@
 		{name: "refuses two of three", refuseShare: 0.67},
 		{name: "refuses one of five after 2 s", lateRefuseShare: 0.2},
 		{name: "never answers one of five", noAnswerShare: 0.2},
-		{name: "spoils half", unusableShare: 0.5},
-		{name: "spoils three of four", unusableShare: 0.75},
+		{name: "half of the answers unusable", unusableShare: 0.5},
+		{name: "three of four answers unusable", unusableShare: 0.75},
 		{name: "late by 1 s, and refuses one of five", callDelay: time.Second, refuseShare: 0.2},
 	} {
 		const seeds, share = 30, 0.03
@@ -276,10 +278,10 @@
 	}
 }
 
-// The same of an agent, whose news counts as told at once.
+// Guards the drain rule where nodes have agents: a node is expected to know at once what its agent has.
 func TestChangesOfAnAgentAreKnownWithinTheDrainGrace(t *testing.T) {
 	for _, kind := range []discoveryFault{
-		{name: "refuses", refuseShare: 1}, {name: "refuses after 2 s", lateRefuseShare: 1}, {name: "silent", noAnswerShare: 1},
+		{name: "refuses", refuseShare: 1}, {name: "refuses after 2 s", lateRefuseShare: 1}, {name: "never answers", noAnswerShare: 1},
 	} {
 		for _, lasts := range []time.Duration{50 * ms, 300 * ms, 700 * ms, 2 * time.Second, 6 * time.Second, 75 * time.Second} {
 			kind.from, kind.to = 5*time.Second, 5*time.Second+lasts
@@ -289,31 +291,31 @@
 	requireChangesKnownInTime(t, true, 8, discoveryFault{name: "none"})
 }
 
-// The calls of all nodes of a large fleet together leave discovery time for them, also while none is heard.
+// Guards discovery against a large fleet whose calls leave it no time, also while no call is answered.
 func TestCallsOfALargeFleetDoNotOverloadDiscovery(t *testing.T) {
-	for _, fault := range []discoveryFault{{name: "refuses", refuseShare: 1}, {name: "refuses after 2 s", lateRefuseShare: 1}, {name: "silent", noAnswerShare: 1}, {name: "spoils", unusableShare: 1}} {
+	for _, fault := range []discoveryFault{{name: "refuses", refuseShare: 1}, {name: "refuses after 2 s", lateRefuseShare: 1}, {name: "never answers", noAnswerShare: 1}, {name: "unusable answers", unusableShare: 1}} {
 		fault.from, fault.to = 5*time.Second, 65*time.Second
 		const nodes = 300
 		m := newDiscoveryRun(t, false, nodes, 1, fault)
 		m.playRandomChanges(fault.to)
 		begun := 0
-		const settled = 10 * time.Second // behind the first calls, which come sooner
+		const settled = 10 * time.Second // time after which the first calls, which come sooner, are over
 		for _, at := range m.callTimes {
 			if m.isFaultActive(at) && m.isFaultActive(at-settled) {
 				begun++
 			}
 		}
 		if fault.unusableShare > 0 {
-			begun -= maxBursts * callsPerBurst // which come once
+			begun -= maxBursts * callsPerBurst // bursts come once
 		}
 		work := time.Duration(begun*nodes) * changesCallDuration
 		if outage := fault.to - fault.from - settled; work > outage {
-			t.Errorf("%s: calls take %v of work in an outage of %v", fault.name, work, outage)
+			t.Errorf("%s: calls take discovery %v in an outage of %v", fault.name, work, outage)
 		}
 	}
 }
 
-// pollingRig is a node whose calls end and are made anew; its list was confirmed just now.
+// newPollingRunner returns a node that uses long polling. Its list was confirmed just now.
 func newPollingRunner(t *testing.T, pushed bool, nodes int, seed uint64) *runner {
 	t.Helper()
 	m := newDiscoveryRun(t, pushed, nodes, seed, discoveryFault{})
@@ -323,23 +325,24 @@
 	return m.runner
 }
 
-// latest gives the newest call.
+// latestCall returns the id of the newest call.
 func (r *runner) latestCall() CallID { return r.host.calls[len(r.host.calls)-1].ID }
 
-// fails ends the newest call in a way, and gives how long after that the next one begins.
+// failLatestCall ends the newest call with the given result, and returns the time until the next call begins.
 func (r *runner) failLatestCall(result CallResult, bytes int64) (pause time.Duration) {
 	r.t.Helper()
 	ended := r.now
 	r.b.CallEnded(r.now, CallEnd{ID: r.latestCall(), Result: result, UnusableBytes: bytes})
 	for calls := r.host.callCount; r.host.callCount == calls; r.advance(ms) {
 		if r.now-ended > time.Minute {
-			r.t.Fatal("no call for a minute")
+			r.t.Fatal("no call begins within a minute")
 		}
 	}
 	return r.now - ended
 }
 
-// The first answer counts: what was asked before it is given up, and what comes of that says nothing.
+// Guards against effects of old calls: the first answer counts. Calls that began before the answered one are
+// cancelled, and their ends are ignored.
 func TestFirstAnswerEndsOlderCalls(t *testing.T) {
 	r := newPollingRunner(t, false, 8, 1)
 	first := r.latestCall()
@@ -348,20 +351,20 @@
 	}
 	r.b.CallEnded(r.now, CallEnd{ID: first + 2, Result: CallAnswered, Changed: true})
 	if want := fmt.Sprint([]CallID{first, first + 1}); fmt.Sprint(r.host.endedCalls) != want {
-		t.Fatalf("calls %v are given up, want %s", r.host.endedCalls, want)
+		t.Fatalf("calls %v are cancelled, want %s", r.host.endedCalls, want)
 	}
 	before := r.host.callCount
 	r.b.CallEnded(r.now, CallEnd{ID: first, Result: CallFailed})
 	if r.host.callCount != before {
-		t.Error("the end of a call that was given up makes another one begin")
+		t.Error("the end of a cancelled call makes another one begin")
 	}
 	r.b.CallEnded(r.now, CallEnd{ID: first + 3, Result: CallAnswered, Changed: true})
 	if r.host.callCount != before+1 || r.host.calls[before].WaitForChanges == 0 {
-		t.Error("behind the answer to the newest call no watch begins")
+		t.Error("no watch begins after the answer to the newest call")
 	}
 }
 
-// However many calls are late, calls of all ages stay out, so that an answer comes however late it is.
+// Guards against missing a very late answer: however many calls are late, calls of all ages stay in flight.
 func TestCallsOfAllAgesStayInFlight(t *testing.T) {
 	r := newPollingRunner(t, false, 1, 1)
 	begun := map[CallID]time.Duration{r.latestCall(): r.now}
@@ -373,7 +376,7 @@
 		}
 	}
 	if len(begun) != maxCallsInFlight {
-		t.Fatalf("%d calls are out, want %d", len(begun), maxCallsInFlight)
+		t.Fatalf("%d calls are in flight, want %d", len(begun), maxCallsInFlight)
 	}
 	for span := 4 * time.Second; span <= 64*time.Second; span *= 2 {
 		found := false
@@ -382,37 +385,37 @@
 			found = found || age >= span/2 && age <= 2*span
 		}
 		if !found {
-			t.Errorf("no call is out for about %v: %v", span, begun)
+			t.Errorf("no call has been in flight for about %v: %v", span, begun)
 		}
 	}
 }
 
-// A discovery that does not wait for changes as long as it is asked to is not called without a pause.
+// Guards a discovery that does not wait for changes as long as it is asked to against calls without a pause.
 func TestWatchThatEndsAtOnceIsNotMadeAtOnce(t *testing.T) {
 	r := newPollingRunner(t, false, 8, 1)
 	r.advance(10 * ms)
 	calls := r.host.callCount
 	r.b.CallEnded(r.now, CallEnd{ID: r.latestCall(), Result: CallAnswered})
 	if r.advance(burstInterval / 2); r.host.callCount != calls {
-		t.Error("a watch that ended without news is made anew at once")
+		t.Error("a watch that ended without changes is made again at once")
 	}
 	if r.advance(burstInterval); r.host.callCount != calls+1 {
-		t.Error("a watch that ended without news is not made anew")
+		t.Error("a watch that ended without changes is not made again")
 	}
 }
 
-// Guards rule 3 at the return of an agent: what it gets then counts as told at once.
+// Guards the drain rule at the return of an agent: the node is expected to know at once what its agent has.
 func TestAgentThatIsDownIsCalledWithinTheDrainGrace(t *testing.T) {
 	r := newPollingRunner(t, true, 300, 1)
 	grace := r.b.settings.Rules.DrainGrace
 	for i := range 30 {
 		if pause := r.failLatestCall(CallFailed, 0); pause <= 0 || pause > grace/agentPeriodDivisor+ms {
-			t.Fatalf("failure %d: the next call comes %v later", i, pause)
+			t.Fatalf("failure %d: the next call begins %v later", i, pause)
 		}
 	}
 }
 
-// The same where some of its answers can't be taken.
+// Guards the drain rule at the return of an agent of which some answers are unusable.
 func TestAgentThatIsDownIsCalledOftenAfterUnusableAnswers(t *testing.T) {
 	r := newPollingRunner(t, true, 300, 1)
 	for i := range 40 {
@@ -421,14 +424,14 @@
 			result, bytes = CallUnusable, 300
 		}
 		if pause := r.failLatestCall(result, bytes); pause <= 0 || pause > r.b.settings.Rules.DrainGrace/agentPeriodDivisor+ms {
-			t.Fatalf("call %d came to nothing, and the next comes %v later", i, pause)
+			t.Fatalf("failure %d: the next call begins %v later", i, pause)
 		}
 	}
 }
 
-// Guards discovery and the node against a list that can't be taken, as one that is too large: it costs both
-// as much as a good one, and was called for again at once (75 calls and 539 MB in 8 s, each request
-// refused). The longer it is, the longer is the pause behind it, up to what the rules leave time for.
+// Guards discovery and the node against an unusable list, as one that is too large. It costs both as much as a
+// good one, and was requested again at once (75 calls and 539 MB in 8 s, each request refused). The longer the
+// list is, the longer is the pause after it, up to what the rules leave time for.
 func TestUnusableListIsRequestedLessAndLessOften(t *testing.T) {
 	for _, pushed := range []bool{true, false} {
 		last := time.Duration(0)
@@ -438,38 +441,40 @@
 			pause := r.failLatestCall(CallUnusable, bytes)
 			rate := float64(bytes) / pause.Seconds()
 			if pause < last || pause < minUnusablePause || pause > maxUnusablePause+ms || rate > 1.05*unusableBytesPerSecond && pause < maxUnusablePause {
-				t.Errorf("pushed %t: %v behind %d bytes, after %v behind fewer", pushed, pause, bytes, last)
+				t.Errorf("pushed %t: pause of %v after %d bytes, and of %v after fewer bytes", pushed, pause, bytes, last)
 			}
 			last = pause
 		}
 		if last < maxUnusablePause {
-			t.Errorf("pauses reach %v, want %v", last, maxUnusablePause)
+			t.Errorf("the longest pause is %v, want %v", last, maxUnusablePause)
 		}
 	}
 	if longest := maxUnusablePause; longest+callReserve > maxListAge {
-		t.Errorf("calls %v apart are told too late", longest)
+		t.Errorf("calls %v apart bring changes too late", longest)
 	}
 }
 
-// The time between calls counts from call to call: one that took long to fail does not make the next late.
+// Guards against adding the time that a call took to fail to the interval between calls, which counts from the
+// start of one call to the start of the next.
 func TestLongCallsCountTowardsTheDelay(t *testing.T) {
 	for seed := range uint64(20) {
 		for _, took := range []time.Duration{0, 100 * ms, 300 * ms} {
 			r := newPollingRunner(t, false, 300, seed)
 			for overdue := r.now + 2*maxListAge; r.now < overdue; {
-				r.failLatestCall(CallFailed, 0) // up to the pace of the fleet
+				r.failLatestCall(CallFailed, 0) // until the interval has grown to the call period
 			}
 			began := r.now
 			r.advance(took)
 			r.failLatestCall(CallFailed, 0)
 			const least = maxCallPeriod / 2
 			if apart := r.now - began; apart < least || apart > maxCallPeriod {
-				t.Errorf("a call of %v: the next one begins after %v, want %v to %v", took, apart, least, maxCallPeriod)
+				t.Errorf("call of %v: the next one begins %v after its start, want %v to %v", took, apart, least, maxCallPeriod)
 			}
 		}
 	}
 }
 
+// Guards against retries at the same moment, and against delays that do not grow as they are doubled.
 func TestJitterStaysInItsRange(t *testing.T) {
 	r := newRunner(t, testSettings(), 1)
 	least, most := time.Hour, time.Duration(0)
@@ -478,12 +483,13 @@
 		least, most = min(least, delay), max(most, delay)
 	}
 	if least < 800*ms || most > 1200*ms || most-least < 200*ms {
-		t.Errorf("delays of a second lie between %v and %v", least, most)
+		t.Errorf("jittered delays of 1 s lie between %v and %v, want 800 ms to 1.2 s and 200 ms of spread", least, most)
 	}
 }
 
-// Short answers that can't be taken, as changes in place of the list, are called for soon at first, as they
-// may be spoilt by chance, and then less and less often up to the longest time between two calls.
+// Guards discovery against frequent calls after short unusable answers, as changes in place of the whole list.
+// They are requested again soon at first, as the fault may be random, and then less and less often down to the
+// longest interval between two calls.
 func TestShortUnusableAnswersAreRequestedLessAndLessOften(t *testing.T) {
 	r := newPollingRunner(t, false, 8, 1)
 	for range maxBursts*callsPerBurst + 2*maxBackoffDoublings {
@@ -491,19 +497,20 @@
 	}
 	for range 10 {
 		if pause := r.failLatestCall(CallUnusable, 40); pause < maxCallPeriod-maxCallPeriod/jitterDivisor-ms || pause > maxCallPeriod+ms {
-			t.Errorf("a pause of %v behind many answers that can't be taken, want about %v", pause, maxCallPeriod)
+			t.Errorf("pause of %v after many unusable answers, want about %v", pause, maxCallPeriod)
 		}
 	}
 }
 
-// A list over the bound on servers has some megabytes, and is called for as seldom as the rules allow.
+// Guards discovery against frequent calls for a list with more servers than the limit. It has some megabytes,
+// and is requested as seldom as the rules allow.
 func TestOversizedListIsRequestedLessAndLessOften(t *testing.T) {
 	for _, pushed := range []bool{true, false} {
 		r := newPollingRunner(t, pushed, 8, 1)
 		r.failLatestCall(CallUnusable, 1<<20) // the watch
 		for range 10 {
 			if pause := r.failLatestCall(CallUnusable, 1<<20); pause < maxUnusablePause {
-				t.Errorf("pushed %t: a pause of %v behind a list over the bound, want %v", pushed, pause, maxUnusablePause)
+				t.Errorf("pushed %t: pause of %v after an oversized list, want %v", pushed, pause, maxUnusablePause)
 			}
 		}
 	}
--- a/policy/late_answers_test.go
+++ b/policy/late_answers_test.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// lateAnswers is a discovery that can be reached all the time and answers late from a change on, which the
-// watch that is open then misses. Calls take the faults in turn.
+// lateAnswerCase describes a discovery that is reachable all the time and answers late from a change on, which
+// the open watch misses. Calls meet the faults in turn.
 type lateAnswerCase struct {
 	name     string
-	maxDelay time.Duration // the longest delay of an answer that is in time
+	maxDelay time.Duration // longest delay with which changes are known in time
 	faults   func(late time.Duration) []discoveryFault
 }
 
+// toleratedLateAnswers are faults under which a node knows a missed change in time.
 var toleratedLateAnswers = []lateAnswerCase{
 	{"each answer is late", 5 * time.Second, func(late time.Duration) []discoveryFault {
 		return []discoveryFault{{answerDelay: late}}
@@ -39,7 +40,8 @@
 	}},
 }
 
-// missedChange makes a change that open calls miss, and gives the time until the node knows it.
+// timeToLearnMissedChange makes a change that the calls in flight miss, and returns the time until the node
+// knows it.
 func (m *discoveryRun) timeToLearnMissedChange(turns []discoveryFault) time.Duration {
 	m.faultCycle, m.faultCycleSince = turns, m.now
 	for _, call := range m.inFlight {
@@ -53,7 +55,7 @@
 	return m.now - made
 }
 
-// Guards rule 3 where discovery answers late, or fails some calls and answers the others late.
+// Guards the drain rule where discovery answers late, or fails some calls and answers the others late.
 func TestMissedChangeIsKnownInTimeThoughAnswersAreLate(t *testing.T) {
 	const step, seeds = 500 * ms, 12
 	for _, kind := range toleratedLateAnswers {
@@ -69,29 +71,29 @@
 				}
 			}
 			if worst > maxListAge+maxLateness {
-				t.Errorf("%d nodes, %s: a change is known %v after it was made (%s)", nodes, kind.name, worst, at)
+				t.Errorf("%d nodes, %s: the node knows a change %v after it was made (%s)", nodes, kind.name, worst, at)
 			}
 		}
 	}
 }
 
-// Guards rule 3 where discovery can be reached for a second at a time, between outages of any length.
+// Guards the drain rule where discovery is reachable for a second at a time, between outages of any length.
 func TestChangeIsKnownInTimeThoughDiscoveryIsThereForASecondAtATime(t *testing.T) {
-	requireChangeKnownAfterOutages(t, time.Second, discoveryFault{name: "refuses", refuseShare: 1}, discoveryFault{name: "says nothing", noAnswerShare: 1})
+	requireChangeKnownAfterOutages(t, time.Second, discoveryFault{name: "refuses", refuseShare: 1}, discoveryFault{name: "never answers", noAnswerShare: 1})
 }
 
-// The same where calls take as long to be refused as discovery is there for.
+// Guards the drain rule where a call takes as long to be refused as discovery is reachable.
 func TestChangeIsKnownInTimeThoughDiscoveryThatRefusesLateIsThereForASecondAtATime(t *testing.T) {
 	requireChangeKnownAfterOutages(t, time.Second, discoveryFault{name: "refuses after 1 s", lateRefuseShare: 1, lateRefuseAfter: time.Second})
 }
 
-// The same where it is there for twice as long.
+// Guards the drain rule where a call takes half as long to be refused as discovery is reachable.
 func TestChangeIsKnownInTimeThoughDiscoveryThatRefusesLateIsThereForTwoSecondsAtATime(t *testing.T) {
 	requireChangeKnownAfterOutages(t, 2*time.Second, discoveryFault{name: "refuses after 1 s", lateRefuseShare: 1, lateRefuseAfter: time.Second})
 }
 
-// requireHeardReturns plays outages of some kinds and checks that the node knows a change once discovery was
-// there for a span.
+// requireChangeKnownAfterOutages simulates outages of some kinds. It checks that the node knows a change once
+// discovery was reachable for the given time.
 func requireChangeKnownAfterOutages(t *testing.T, reachableFor time.Duration, kinds ...discoveryFault) {
 	t.Helper()
 	const seeds = 12
@@ -105,15 +107,15 @@
 					unknown += m.unknownChangesAfterOutage(kind, outage, reachableFor)
 				}
 				if unknown > 0 {
-					t.Errorf("%s for %v, %d nodes: %d of %d times no answer comes while discovery is there for %v", kind.name, outage, nodes, unknown, seeds, reachableFor)
+					t.Errorf("%s for %v, %d nodes: in %d of %d outages no answer comes while discovery is reachable for %v", kind.name, outage, nodes, unknown, seeds, reachableFor)
 				}
 			}
 		}
 	}
 }
 
-// unheardReturn makes a change as discovery goes away, and counts the times that the node does not know it
-// after discovery was there again for a span: 0 or 1.
+// unknownChangesAfterOutage makes a change as an outage begins, and counts the changes that the node does not
+// know after discovery was reachable again for the given time: 0 or 1.
 func (m *discoveryRun) unknownChangesAfterOutage(kind discoveryFault, outage, reachableFor time.Duration) int {
 	m.faultCycle, m.faultCycleSince = []discoveryFault{kind}, m.now
 	for _, call := range m.inFlight {
@@ -126,21 +128,21 @@
 	return len(m.changes) - m.knownChanges
 }
 
-// playFor lets some time pass in small steps.
+// advanceInSteps advances the time in small steps.
 func (m *discoveryRun) advanceInSteps(span time.Duration) {
 	for end := m.now + span; m.now < end; {
 		m.advanceStep(5 * ms)
 	}
 }
 
-// playUntil plays up to some time after the first answer.
+// advanceUntil advances the time until the given time after the first answer.
 func (m *discoveryRun) advanceUntil(after time.Duration) {
 	for m.firstAnswerAt == 0 || m.now < m.firstAnswerAt+after {
 		m.advanceStep(5 * ms)
 	}
 }
 
-// turn gives the fault that strikes the next call, where calls take faults in turn.
+// faultOfCall returns the fault that the newest call meets, where calls meet faults in turn.
 func (m *discoveryRun) faultOfCall() (discoveryFault, bool) {
 	if len(m.faultCycle) == 0 {
 		return discoveryFault{}, false
@@ -149,7 +151,7 @@
 	return m.faultCycle[(len(m.callTimes)-1-max(begun, 0))%len(m.faultCycle)], true
 }
 
-// overdueCounter counts the times that a list was found to be due.
+// overdueCounter counts the reports of an overdue list.
 type overdueCounter struct {
 	Observer
 	reports int
@@ -159,8 +161,8 @@
 func (c *overdueCounter) CallPlanned(_, _ time.Duration)  {}
 func (c *overdueCounter) ListOverdue(since time.Duration) { c.reports, c.since = c.reports+1, since }
 
-// A node knows, and tells once, that what it has heard is older than the rules allow; also where an answer comes
-// that is late by as much.
+// Guards against a node that does not report, or reports repeatedly, that what it has heard is older than the
+// rules allow. An answer with such a delay is too old as well.
 func TestOverdueListIsReportedOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		turns  []discoveryFault
@@ -169,9 +171,9 @@
 	}{
 		"answers come":                           {nil, 60 * time.Second, 0},
 		"answers come 3 s late":                  {[]discoveryFault{{answerDelay: 3 * time.Second}}, 60 * time.Second, 0},
-		"none comes for less than the time":      {[]discoveryFault{{noAnswerShare: 1}}, maxListAge - 2*time.Second, 0},
+		"none comes for less than allowed":       {[]discoveryFault{{noAnswerShare: 1}}, maxListAge - 2*time.Second, 0},
 		"none comes for long":                    {[]discoveryFault{{noAnswerShare: 1}}, 60 * time.Second, 1},
-		"answers come later than the time is":    {[]discoveryFault{{answerDelay: 8 * time.Second}}, 15 * time.Second, 1},
+		"answers come later than allowed":        {[]discoveryFault{{answerDelay: 8 * time.Second}}, 15 * time.Second, 1},
 		"calls are refused for longer than that": {[]discoveryFault{{refuseShare: 1}}, 7 * time.Second, 1},
 	} {
 		m := newDiscoveryRun(t, false, 8, 1, discoveryFault{})
@@ -181,23 +183,24 @@
 		m.faultCycle, m.faultCycleSince = c.turns, m.now
 		m.advanceInSteps(c.passes)
 		if counter.reports != c.want {
-			t.Errorf("%s: told %d times, want %d", name, counter.reports, c.want)
+			t.Errorf("%s: overdue list reported %d times, want %d", name, counter.reports, c.want)
 		}
 		if c.want > 0 && counter.since > m.faultCycleSince+maxListAge+time.Second {
-			t.Errorf("%s: due %v after the last answer", name, counter.since-m.faultCycleSince)
+			t.Errorf("%s: list deadline is %v after the last answer", name, counter.since-m.faultCycleSince)
 		}
 		if m.faultCycle = nil; c.want > 0 {
 			m.advanceInSteps(10 * time.Second)
 			m.faultCycle, m.faultCycleSince = []discoveryFault{{noAnswerShare: 1}}, m.now
 			m.advanceInSteps(10 * time.Second)
 			if counter.reports <= c.want {
-				t.Errorf("%s: not told again behind an answer", name)
+				t.Errorf("%s: overdue list not reported again after an answer", name)
 			}
 		}
 	}
 }
 
-// Guards rule 3 behind a reload: what the other address has counts as told movedAfter later.
+// Guards the drain rule after a reload: the node is expected to know the list of the new address within
+// maxAddressChangeDelay.
 func TestChangeIsKnownInTimeAfterAReloadThoughAnswersAreLate(t *testing.T) {
 	const seeds, toLate = 12, maxAddressChangeDelay - maxLateThreshold
 	for _, kind := range []struct {
@@ -218,7 +221,7 @@
 				worst = max(worst, m.timeToLearnMissedChange(kind.turns))
 			}
 			if worst > maxAddressChangeDelay+maxLateness {
-				t.Errorf("%d nodes, %s: a change is known %v after the reload", nodes, kind.name, worst)
+				t.Errorf("%d nodes, %s: the node knows a change %v after the reload", nodes, kind.name, worst)
 			}
 		}
 	}
--- a/policy/lifecycle_judge_test.go
+++ b/policy/lifecycle_judge_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// sourceBeginning tells from when on a judge counts a source as the present one. The interface names the
-// move to it; a node knows what a source has from its first answer on. What may be sent is judged by the
-// earlier instant and what has to be sent by the later one, so that both are free in between. So is whether
-// a source begins anew that a new configuration names again, with no other one heard meanwhile.
+// sourceStartRule tells from when on a checker counts a source as the current one. The interface reports the
+// change of the address; a node knows what a source has from its first answer on. What may be sent is checked
+// by the earlier time and what has to be sent by the later one, so that both are allowed in between. The same
+// goes for whether a source starts anew that a new configuration names again, without any other one in between.
 type sourceStartRule uint8
 
 const (
@@ -19,7 +19,7 @@
 	startsAtFirstAnswer
 )
 
-// breakKind is a way in which a rule is broken.
+// violationKind is a way in which a rule is violated.
 type violationKind uint8
 
 const (
@@ -34,43 +34,43 @@
 )
 
 var violationNames = [...]string{
-	noViolation: "keeps the rules", sentUnconfirmed: "sent before the list is confirmed",
-	sentToUnlisted: "sent though it is not listed", sentToFormerIncarnation: "sent though it has started again",
-	sentToOutOfService: "sent though it was told to be out of service", notCancelledOutOfService: "not withdrawn though it was told to be out of service",
-	cancelledInService: "withdrawn though it is in service", inServiceWithoutWork: "in service and gets no work",
+	noViolation: "no violation", sentUnconfirmed: "sent before the list is confirmed",
+	sentToUnlisted: "sent though it is not listed", sentToFormerIncarnation: "sent though it has restarted",
+	sentToOutOfService: "sent though it was told to be out of service", notCancelledOutOfService: "not cancelled though it was told to be out of service",
+	cancelledInService: "cancelled though it is in service", inServiceWithoutWork: "in service and gets no work",
 }
 
 func (k violationKind) String() string { return violationNames[k] }
 
-// ruleBreak is a rule that was broken.
+// ruleViolation is a violation of a rule.
 type ruleViolation struct {
 	kind      violationKind
-	at        time.Duration // since the first process has started
+	at        time.Duration // time since the start of the first process
 	server    ServerID
-	startedAt time.Duration // of the server
+	startedAt time.Duration // start of the server
 }
 
 func (v ruleViolation) String() string {
 	return fmt.Sprintf("at %v, server %d (start %v): %v", v.at, v.server, v.startedAt, v.kind)
 }
 
-// listEvent is one call of Balancer.MembersFrom.
+// listUpdate holds the arguments of a call of Balancer.ListUpdatedFrom.
 type listUpdate struct {
 	origin  Origin
 	kind    ListKind
 	entries []Entry
 }
 
-// outStatement is one statement that a life of a server takes no new work.
+// outOfServiceNotice is a statement that an incarnation of a server takes no new work.
 type outOfServiceNotice struct {
 	startedAt   time.Duration
 	origin      Origin
 	heardAt     time.Duration
-	partial     bool // by an answer that is not whole, or of an earlier version
+	partial     bool // the answer was partial, or of an earlier version
 	listedAgain bool // a whole answer has listed the server in service since
 }
 
-// listedWord is the last line of a whole answer about a server that counts.
+// latestEntry is the last entry about a server that counts, from a whole answer.
 type latestEntry struct {
 	known     bool
 	startedAt time.Duration
@@ -79,24 +79,24 @@
 	heardAt   time.Duration
 }
 
-// serverRecord is all that a process was told of a server and that still counts.
+// serverRecord is all that a process was told about a server and that still counts.
 type serverRecord struct {
 	latest  latestEntry
 	notices []outOfServiceNotice
 }
 
-// lifecycleJudge tells from the events alone which lives of servers a process may send to. It keeps every
-// statement that a life is out of service until that very statement has been undone.
+// lifecycleChecker tells from list updates alone which incarnations of servers a process may send to. It keeps
+// every notice that an incarnation is out of service until that notice has been undone.
 type lifecycleChecker struct {
 	sourceStart sourceStartRule
 	onRequest   bool
 
 	processStartedAt time.Duration
-	confirmed        bool // by a whole answer
+	confirmed        bool // a whole answer has confirmed the list
 	latestOrigin     Origin
-	addressChanged   bool          // to an address that has not answered yet,
-	addressChangedAt time.Duration // and when
-	sourceSince      time.Duration // the present source began
+	addressChanged   bool          // the current address has not answered yet
+	addressChangedAt time.Duration // time of the latest address change
+	sourceSince      time.Duration // start of the current source
 	records          map[ServerID]*serverRecord
 }
 
@@ -107,7 +107,7 @@
 	}
 }
 
-// record gives what is known of a server.
+// record returns what is known of a server.
 func (c *lifecycleChecker) record(server ServerID) *serverRecord {
 	r := c.records[server]
 	if r == nil {
@@ -117,7 +117,7 @@
 	return r
 }
 
-// hear takes an event in.
+// apply takes in a list update.
 func (c *lifecycleChecker) apply(now time.Duration, event listUpdate) {
 	switch event.kind {
 	case ListAddressChanged:
@@ -130,8 +130,8 @@
 	}
 }
 
-// hearPart takes in an event of which only what leaves counts. A line of a former life may count against
-// the present one where it could in a whole answer: such a server need not get work, and may.
+// applyPartial takes in an update of which only what is out of service counts. An entry of a former incarnation
+// may count against the current one where it could in a whole answer: such a server need not get work, but may.
 func (c *lifecycleChecker) applyPartial(now time.Duration, event listUpdate) {
 	for _, e := range event.entries {
 		if e.State == StateInService {
@@ -149,7 +149,7 @@
 	}
 }
 
-// hearWhole takes in an answer that counts as a whole.
+// applyWhole takes in an answer that counts as a whole.
 func (c *lifecycleChecker) applyWhole(now time.Duration, event listUpdate) {
 	origin := event.origin
 	isAnother := origin.Source != c.latestOrigin.Source
@@ -177,12 +177,12 @@
 	}
 }
 
-// names tells whether an event has a line of a server.
+// names reports whether an update has an entry of a server.
 func (e *listUpdate) names(server ServerID) bool {
 	return slices.ContainsFunc(e.entries, func(line Entry) bool { return line.Server == server })
 }
 
-// unnamedAreOut takes in what a whole list does not name.
+// recordUnnamedOutOfService records that the servers are out of service that a whole list does not name.
 func (c *lifecycleChecker) recordUnnamedOutOfService(now time.Duration, event listUpdate, partial bool) {
 	for server, r := range c.records {
 		if event.names(server) {
@@ -195,7 +195,7 @@
 	}
 }
 
-// latestStart is the latest start of a server that any line has told.
+// latestStart returns the latest start of a server that any entry has told.
 func (r *serverRecord) latestStart() time.Duration {
 	latest := r.latest.startedAt
 	for _, o := range r.notices {
@@ -204,8 +204,8 @@
 	return latest
 }
 
-// hearLine takes in a line of a whole answer. One of an earlier life than is known says nothing, unless
-// it is a later word of the same source, or all sources must have caught up.
+// applyEntry takes in an entry of a whole answer. One of an earlier incarnation than the known one says
+// nothing, unless it is a later statement of the same source, or all sources must have caught up.
 func (c *lifecycleChecker) applyEntry(now time.Duration, origin Origin, e Entry) {
 	r := c.record(e.Server)
 	if former := r.latest.known && e.StartedAt < r.latest.startedAt; former {
@@ -222,7 +222,8 @@
 	r.relist(origin, e.StartedAt)
 }
 
-// out notes that a life takes no new work. The same statement once more counts from then on.
+// recordOutOfService records that an incarnation takes no new work. If the same notice comes again, it counts
+// from then on.
 func (r *serverRecord) recordOutOfService(now time.Duration, origin Origin, startedAt time.Duration, partial bool) {
 	same := func(o outOfServiceNotice) bool {
 		return o.startedAt == startedAt && o.origin.Source == origin.Source && o.partial == partial
@@ -235,8 +236,8 @@
 	r.notices = append(r.notices, next)
 }
 
-// listAgain undoes what a line in service undoes: statements of the same source that are earlier, and
-// those of lives that are over.
+// relist removes the notices that an entry in service undoes: earlier ones of the same source, and those of
+// former incarnations.
 func (r *serverRecord) relist(origin Origin, startedAt time.Duration) {
 	kept := r.notices[:0]
 	for _, o := range r.notices {
@@ -249,7 +250,7 @@
 	r.notices = kept
 }
 
-// undoneBy tells whether a later word of the same source undoes a statement.
+// undoneBy reports whether a later statement of the same source undoes a notice.
 func (o *outOfServiceNotice) undoneBy(origin Origin) bool {
 	if origin.Source != o.origin.Source {
 		return false
@@ -257,9 +258,9 @@
 	return origin.Version > o.origin.Version
 }
 
-// settle undoes what was not told by a whole answer, by whole changes that do not name the server: those
-// of the same source up to that version, or of the present one once any source must have caught up. Where
-// whole answers have it out of service too, there is nothing to go back to.
+// undoPartialNotices removes notices by partial answers after changes that do not name the server: those of the
+// same source up to that version, or of any source once every source must have caught up. Where whole answers
+// list the server as out of service too, nothing is removed.
 func (r *serverRecord) undoPartialNotices(now time.Duration, origin Origin, sourceSince time.Duration) {
 	if !r.latest.inService {
 		return
@@ -270,8 +271,8 @@
 	})
 }
 
-// expire undoes statements against servers that are listed in service all the same, at an answer that comes
-// once any source must have caught up. Silence undoes nothing.
+// expireNotices removes notices against servers that are listed in service all the same, at an answer that
+// comes once any source must have caught up. Time alone removes no notice.
 func (c *lifecycleChecker) expireNotices(now time.Duration) {
 	for _, r := range c.records {
 		if !r.latest.inService {
@@ -283,12 +284,12 @@
 	}
 }
 
-// serving tells whether requests may be served at all.
+// serving reports whether requests may be served at all.
 func (c *lifecycleChecker) serving(now time.Duration) bool {
 	return c.confirmed || c.onRequest && now >= c.processStartedAt+maxConfirmationWait
 }
 
-// toldOut tells whether a life of a server was told to take no new work.
+// isOutOfService reports whether an incarnation of a server was told to take no new work.
 func (c *lifecycleChecker) isOutOfService(server ServerID, startedAt time.Duration) bool {
 	r := c.record(server)
 	if r.latest.known && !r.latest.inService && r.latest.startedAt >= startedAt {
@@ -297,13 +298,13 @@
 	return slices.ContainsFunc(r.notices, func(o outOfServiceNotice) bool { return o.startedAt >= startedAt })
 }
 
-// inService tells whether a server has to get work, and which life of it.
+// mustGetWork reports whether a server has to get work, and which incarnation of it.
 func (c *lifecycleChecker) mustGetWork(now time.Duration, server ServerID) (startedAt time.Duration, required bool) {
 	latest := c.record(server).latest
 	return latest.startedAt, c.serving(now) && latest.inService && !c.isOutOfService(server, latest.startedAt)
 }
 
-// judgeSend tells which rule an attempt breaks that begins, or keepsRules.
+// checkSend returns the rule that a new attempt violates, or noViolation.
 func (c *lifecycleChecker) checkSend(now time.Duration, server ServerID, startedAt time.Duration) violationKind {
 	latest := c.record(server).latest
 	switch {
@@ -319,7 +320,7 @@
 	return noViolation
 }
 
-// state words all that the judge's later verdicts rest on.
+// writeState writes all that later results of the checker depend on.
 func (c *lifecycleChecker) writeState(text *strings.Builder) {
 	fmt.Fprint(text, c.processStartedAt, c.confirmed, c.latestOrigin, c.addressChanged, c.addressChangedAt, c.sourceSince)
 	for server := range ServerID(lifecycleServers) {
@@ -329,19 +330,20 @@
 	}
 }
 
-// toldRig is a judge of a process whose list of two servers, version 1 of source 1, is confirmed.
+// newConfirmedChecker returns a checker of a process whose list of two servers, version 1 of source 1, is
+// confirmed.
 func newConfirmedChecker() *lifecycleChecker {
 	checker := newLifecycleChecker(0, true, startsAtAddressChange)
 	checker.apply(0, listUpdate{Origin{1, 1}, ListWhole, inServiceEntries(1, 2)})
 	return checker
 }
 
-// draining gives a line of a server that drains.
+// drainingEntry returns the entry of a server that drains.
 func drainingEntry(server ServerID, started time.Duration) Entry {
 	return Entry{Server: server, State: StateDraining, StartedAt: started}
 }
 
-// The judge of the model has to catch each break of the rules, or the model proves nothing.
+// Guards against a checker that misses a violation, with which the model would prove nothing.
 func TestLifecycleCheckerCatchesSendsThatBreakTheRules(t *testing.T) {
 	inService := inServiceEntries(1, 1)[0]
 	later := inService
@@ -351,21 +353,21 @@
 		at     time.Duration
 		want   violationKind
 	}{
-		"told by changes":      {[]listUpdate{{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, 0)}}}, 0, sentToOutOfService},
-		"told gone":            {[]listUpdate{{Origin{1, 2}, ListChanges, []Entry{{Server: 1, State: StateGone}}}}, 0, sentToOutOfService},
-		"not named":            {[]listUpdate{{Origin{1, 2}, ListWhole, inServiceEntries(2, 2)}}, 0, sentToOutOfService},
-		"told by a cut answer": {[]listUpdate{{Origin{1, 2}, ListPartial, []Entry{drainingEntry(1, 0)}}}, 0, sentToOutOfService},
-		"told by an earlier version": {[]listUpdate{
+		"drained by changes":        {[]listUpdate{{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, 0)}}}, 0, sentToOutOfService},
+		"removed by changes":        {[]listUpdate{{Origin{1, 2}, ListChanges, []Entry{{Server: 1, State: StateGone}}}}, 0, sentToOutOfService},
+		"not named by a whole list": {[]listUpdate{{Origin{1, 2}, ListWhole, inServiceEntries(2, 2)}}, 0, sentToOutOfService},
+		"drained by a cut answer":   {[]listUpdate{{Origin{1, 2}, ListPartial, []Entry{drainingEntry(1, 0)}}}, 0, sentToOutOfService},
+		"not named by an earlier version": {[]listUpdate{
 			{Origin{1, 3}, ListWhole, inServiceEntries(1, 2)}, {Origin{1, 2}, ListOutdated, inServiceEntries(2, 2)}}, 0, sentToOutOfService},
-		"told, and silence since": {[]listUpdate{{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, 0)}}}, 10 * maxReplicaLag, sentToOutOfService},
-		"told by a cut answer, and silence since": {
+		"drained by changes, and no answer since": {[]listUpdate{{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, 0)}}}, 10 * maxReplicaLag, sentToOutOfService},
+		"drained by a cut answer, and no answer since": {
 			[]listUpdate{{Origin{1, 2}, ListPartial, []Entry{drainingEntry(1, 0)}}}, 10 * maxReplicaLag, sentToOutOfService},
-		"listed by another source, and silence since": {[]listUpdate{
+		"listed by another source, and no answer since": {[]listUpdate{
 			{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, 0)}}, {Origin{2, 9}, ListAddressChanged, nil},
 			{Origin{2, 9}, ListWhole, inServiceEntries(1, 2)}}, 10 * maxReplicaLag, sentToOutOfService},
 		"listed by a version that went back": {[]listUpdate{
 			{Origin{1, 5}, ListChanges, []Entry{drainingEntry(1, 0)}}, {Origin{1, 1}, ListWhole, inServiceEntries(1, 2)}}, 10 * maxReplicaLag, sentToOutOfService},
-		"listed by the second of two sources that told it": {[]listUpdate{
+		"listed again by the second of two sources that took it out": {[]listUpdate{
 			{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, 0)}}, {Origin{2, 1}, ListAddressChanged, nil},
 			{Origin{2, 1}, ListWhole, inServiceEntries(2, 2)}, {Origin{2, 2}, ListChanges, []Entry{inService}}}, 0, sentToOutOfService},
 		"an earlier start": {[]listUpdate{
@@ -378,18 +380,18 @@
 			checker.apply(0, event)
 		}
 		if got := checker.checkSend(c.at, 1, 0); got != c.want {
-			t.Errorf("%s: a send %v, want: %v", name, got, c.want)
+			t.Errorf("%s: send: %v, want: %v", name, got, c.want)
 		}
 		if started, required := checker.mustGetWork(c.at, 1); required && started == 0 {
-			t.Errorf("%s: the server would have to get work", name)
+			t.Errorf("%s: the checker requires work for the server", name)
 		}
 		if got := checker.checkSend(0, 2, 0); got != noViolation {
-			t.Errorf("%s: a send to the other server: %v", name, got)
+			t.Errorf("%s: send to the other server: %v", name, got)
 		}
 	}
 }
 
-// It has to allow, and to call for, work of servers that are back.
+// Guards against a checker that forbids sends to servers that are back, or does not require them.
 func TestLifecycleCheckerRequiresWorkForReturnedServers(t *testing.T) {
 	later := inServiceEntries(1, 1)[0]
 	later.StartedAt = time.Hour
@@ -405,7 +407,7 @@
 			{Origin{1, 2}, ListPartial, []Entry{drainingEntry(1, 0)}}, {Origin{1, 3}, ListWhole, inServiceEntries(1, 2)}}, 0},
 		"a cut answer, and changes that do not name it": {[]listUpdate{
 			{Origin{1, 2}, ListPartial, []Entry{drainingEntry(1, 0)}}, {Origin{1, 3}, ListChanges, nil}}, 0},
-		"an earlier version, and the present one again": {[]listUpdate{
+		"an earlier version, and the current one again": {[]listUpdate{
 			{Origin{1, 4}, ListWhole, inServiceEntries(1, 2)}, {Origin{1, 3}, ListOutdated, inServiceEntries(2, 2)}, {Origin{1, 4}, ListChanges, nil}}, 0},
 	} {
 		checker := newConfirmedChecker()
@@ -413,15 +415,16 @@
 			checker.apply(0, event)
 		}
 		if got := checker.checkSend(0, 1, c.started); got != noViolation {
-			t.Errorf("%s: a send: %v", name, got)
+			t.Errorf("%s: send to the server: %v", name, got)
 		}
 		if started, required := checker.mustGetWork(0, 1); !required || started != c.started {
-			t.Errorf("%s: start %v, in service %t", name, started, required)
+			t.Errorf("%s: work is required for start %v: %t", name, started, required)
 		}
 	}
 }
 
-// A server that another source lists in service is back once that source must have caught up, and answers.
+// Guards against a checker that puts a server too early or too late into service: one that another source lists
+// in service is back once that source must have caught up, and answers.
 func TestLifecycleCheckerWaitsForSourcesThatLag(t *testing.T) {
 	for _, wait := range []time.Duration{maxReplicaLag - 1, maxReplicaLag} {
 		checker := newConfirmedChecker()
@@ -432,25 +435,25 @@
 		allowed := checker.checkSend(wait, 1, 0) == noViolation
 		_, required := checker.mustGetWork(wait, 1)
 		if caughtUp := wait >= maxReplicaLag; allowed != caughtUp || required != caughtUp {
-			t.Errorf("after %v: a send is allowed: %t, in service: %t", wait, allowed, required)
+			t.Errorf("after %v: send allowed: %t, work required: %t", wait, allowed, required)
 		}
 	}
 }
 
-// Nothing is sent by a kept list before its time.
+// Guards against a checker that allows sends by a cached list before its time.
 func TestLifecycleCheckerCatchesSendsByUnconfirmedLists(t *testing.T) {
 	for _, onRequest := range []bool{false, true} {
 		checker := newLifecycleChecker(0, onRequest, startsAtAddressChange)
 		checker.apply(0, listUpdate{Origin{1, 1}, ListCached, inServiceEntries(1, 2)})
 		if got := checker.checkSend(maxConfirmationWait-1, 1, 0); got != sentUnconfirmed {
-			t.Errorf("asked %t: a send before the list is confirmed: %v", onRequest, got)
+			t.Errorf("on request %t: send before the list is confirmed: %v", onRequest, got)
 		}
 		if caught := checker.checkSend(maxConfirmationWait, 1, 0) == sentUnconfirmed; caught == onRequest {
-			t.Errorf("asked %t: a send after %v is caught: %t", onRequest, maxConfirmationWait, caught)
+			t.Errorf("on request %t: send after %v is caught: %t", onRequest, maxConfirmationWait, caught)
 		}
 		checker.apply(0, listUpdate{Origin{1, 1}, ListChanges, nil})
 		if got := checker.checkSend(0, 1, 0); got != noViolation {
-			t.Errorf("asked %t: a send once it is confirmed: %v", onRequest, got)
+			t.Errorf("on request %t: send after the list is confirmed: %v", onRequest, got)
 		}
 	}
 }
--- a/policy/lifecycle_model_test.go
+++ b/policy/lifecycle_model_test.go
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// A model of what discovery says of the lives of two servers, and of all the ways in which a node may hear
-// it: two sources that lag behind each other, whole answers and changes, earlier versions, answers once
-// more, cut off or out of order, versions that go back, new configurations, restarts of the node and time.
-// The model is explored breadth first, all steps in all orders up to a depth; nothing is drawn at random.
-// After each step the real Balancer is sent requests, and lifecycleJudge judges what becomes of them.
+// A model of what discovery says about the incarnations of two servers, and of all the ways in which a node may
+// learn it: two sources that lag behind each other, whole answers and changes, earlier versions, answers that
+// are repeated, cut off or out of order, versions that go back, new configurations, restarts of the node, and
+// time. The model is explored breadth first, all steps in all orders up to a depth; nothing is random. After
+// each step the real Balancer is sent requests, and a lifecycleChecker checks what becomes of them.
 
-// serverWord is what discovery says of a server at some time.
+// serverStatus is what discovery says of a server at some time.
 type serverStatus struct {
 	state     ServerState
 	startedAt time.Duration
 }
 
-// firstWord is what discovery says of each server at first. All starts are dated: a line without a date that takes
-// a server out may be about any start, and counts.
+// initialStatus is what discovery says of each server at first. All starts have a time: an entry without one
+// that takes a server out may be about any start, and counts.
 var initialStatus = serverStatus{state: StateInService, startedAt: restartInterval}
 
 // snapshot is what discovery says of all servers.
 type snapshot [lifecycleServers]serverStatus
 
-// lifeChange is a change of one server's life that discovery tells.
+// serverChange is a change of one server that discovery tells.
 type serverChange struct {
-	server int // 0: none
+	server int // number of the server, from 1; 0: no change
 	kind   serverChangeKind
 }
 
@@ -43,12 +43,12 @@
 	changeRestart
 )
 
-var serverChangeNames = [...]string{changeDrain: "drains", changeRemove: "leaves", changeReturn: "is in service again", changeRestart: "starts again"}
+var serverChangeNames = [...]string{changeDrain: "drains", changeRemove: "is removed", changeReturn: "is in service again", changeRestart: "restarts"}
 
-// lifeSpan is the time between two starts of a server, as lists tell it.
+// restartInterval is the time between two starts of a server, as lists tell it.
 const restartInterval = time.Minute
 
-// after gives what discovery says once a change is made. It tells whether the change can be made.
+// with returns the snapshot after a change. It reports whether the change is possible.
 func (s snapshot) with(change serverChange) (snapshot, bool) {
 	status := &s[change.server-1]
 	switch change.kind {
@@ -69,22 +69,22 @@
 	return s, true
 }
 
-// line gives the line of a server, by its number from 1.
+// entry returns the entry of a server, by its number from 1.
 func (s snapshot) entry(server int) Entry {
 	status := s[server-1]
 	return Entry{Server: ServerID(server), State: status.state, StartedAt: status.startedAt, Weight: 1}
 }
 
-// replica is one source of the list. It has what discovery said up to a position of the history, and counts
-// positions by a number of its own.
+// replica is one source of the list. It has what discovery said up to a position of the history, and numbers
+// positions by versions of its own.
 type replica struct {
 	position     int
-	firstVersion int64 // the version of position 0
+	firstVersion int64 // version of position 0
 }
 
 func (r replica) version(position int) int64 { return r.firstVersion + int64(position) }
 
-// stepKind is a kind of what may happen to a node.
+// stepKind is a kind of event that may happen to a node.
 type stepKind uint8
 
 const (
@@ -92,32 +92,32 @@
 	stepChanges                             // changes since the last answer
 	stepRepeatedChanges                     // the last changes once more
 	stepOutdatedList                        // a whole list of an earlier version
-	stepCutAnswer                           // lines of an answer that is not whole, up to the first one,
-	stepUnusableAnswer                      // or all of them,
-	stepUnversionedEntries                  // or those whose version is not known yet: it is later than the last answer's
-	stepFormerSourceEntries                 // lines of an answer of the other source, to a call from before the move
-	stepLaggingList                         // the whole list of an earlier version, asked for anew
-	stepVersionsRestart                     // the same, from a source that counts its versions anew
-	stepAddressChange                       // a new configuration names the other source,
-	stepReload                              // or the same one again
-	stepFailedCall                          // a call for the list comes to nothing
-	stepRestart                             // the node starts again with its latest list,
-	stepRestartWithOldList                  // or with one from long ago
+	stepCutAnswer                           // the first entry of an incomplete answer
+	stepUnusableAnswer                      // all entries of an unusable answer
+	stepUnversionedEntries                  // entries of a later version, which is not known yet
+	stepFormerSourceEntries                 // entries of an answer of the other source, to a call from before the address change
+	stepLaggingList                         // the whole list of an earlier version, to a new call
+	stepVersionsRestart                     // the same, from a source that starts its versions anew
+	stepAddressChange                       // a new configuration names the other source
+	stepReload                              // a new configuration names the same source
+	stepFailedCall                          // a call for the list fails
+	stepRestart                             // the node restarts with its latest list
+	stepRestartWithOldList                  // the node restarts with a list from long ago
 	stepShortWait
 	stepLongWait
 	stepConfirmationWait
 )
 
 var stepNames = [...]string{
-	stepWholeList: "whole list", stepChanges: "changes up to", stepRepeatedChanges: "changes once more up to", stepOutdatedList: "outdated list",
-	stepCutAnswer: "answer cut behind its first line", stepUnusableAnswer: "answer that can't be taken",
-	stepUnversionedEntries: "lines with no version yet", stepFormerSourceEntries: "lines of the former source", stepLaggingList: "whole list that lags",
-	stepVersionsRestart: "whole list, counted anew", stepAddressChange: "new address", stepReload: "the same address again", stepFailedCall: "failed call", stepRestart: "restart",
-	stepRestartWithOldList: "restart with an old list", stepShortWait: "short wait", stepLongWait: "long wait", stepConfirmationWait: "wait to serve",
+	stepWholeList: "whole list", stepChanges: "changes up to", stepRepeatedChanges: "repeated changes up to", stepOutdatedList: "outdated list",
+	stepCutAnswer: "answer cut after its first entry", stepUnusableAnswer: "unusable answer",
+	stepUnversionedEntries: "entries with no version yet", stepFormerSourceEntries: "entries of the former source", stepLaggingList: "lagging whole list",
+	stepVersionsRestart: "whole list, versions restarted", stepAddressChange: "new address", stepReload: "the same address again", stepFailedCall: "failed call", stepRestart: "restart",
+	stepRestartWithOldList: "restart with an old list", stepShortWait: "short wait", stepLongWait: "long wait", stepConfirmationWait: "wait for confirmation",
 }
 
-// step is something that happens to a node. What an answer tells is that of a position of the history; a
-// change may be made just before.
+// step is an event that happens to a node. An answer tells what is at a position of the history; a change may
+// be made just before.
 type step struct {
 	kind     stepKind
 	position int
@@ -135,10 +135,10 @@
 	return text
 }
 
-// scenario bounds what is explored.
+// scenario limits what is explored.
 type scenario struct {
 	name         string
-	onRequest    bool // nodes have to ask for the list
+	onRequest    bool // nodes have to request the list
 	unconfirmed  bool // the exploration begins before the first answer
 	omitDraining bool // whole lists leave out servers that drain
 	steps        []stepKind
@@ -147,14 +147,14 @@
 	maxDepth     int
 }
 
-// lifecycleModel is discovery and what a node has heard of it, with the run of the real Balancer.
+// lifecycleModel is discovery and what a node has learned of it, with the run of the real Balancer.
 type lifecycleModel struct {
 	scenario
 	run             *lifecycleRun
 	history         []snapshot
 	sources         [2]replica
-	followed        int  // the source that the node follows
-	answered        bool // by it, so that changes may follow
+	followed        int  // index of the source that the node follows
+	answered        bool // the followed source has answered, so changes may come next
 	hasFormerSource bool // the other source was followed before
 }
 
@@ -170,7 +170,7 @@
 	return m
 }
 
-// take makes a step.
+// perform makes a step.
 func (m *lifecycleModel) perform(s step) {
 	if s.change.server > 0 {
 		next, _ := m.history[len(m.history)-1].with(s.change)
@@ -218,7 +218,7 @@
 	}
 }
 
-// origin is that of what the present source tells of a position.
+// origin returns the origin of what the current source tells of a position.
 func (m *lifecycleModel) origin(position int) Origin {
 	return Origin{Source: SourceID(m.followed + 1), Version: m.sources[m.followed].version(position)}
 }
@@ -227,7 +227,7 @@
 	m.run.deliver(listUpdate{origin: m.origin(position), kind: kind, entries: entries})
 }
 
-// answer has the present source answer whole.
+// answer delivers a whole answer of the current source.
 func (m *lifecycleModel) answer(kind ListKind, position int) {
 	entries := m.wholeList(position)
 	if kind == ListChanges {
@@ -237,20 +237,21 @@
 	m.deliver(kind, position, entries)
 }
 
-// restart starts a process with the list of a position. Where nodes ask, changes to it may follow.
+// restart starts a process with the list of a position. Where nodes request the list, changes to it may come
+// next.
 func (m *lifecycleModel) restart(position int) {
 	m.sources[m.followed].position, m.answered = position, m.onRequest
 	m.run.restart(listUpdate{origin: m.origin(position), kind: ListCached, entries: m.wholeList(position)})
 }
 
-// whole gives the whole list of a position.
+// wholeList returns the whole list of a position.
 func (m *lifecycleModel) wholeList(position int) []Entry {
 	return slices.DeleteFunc(m.entries(position), func(e Entry) bool {
 		return e.State == StateGone || e.State == StateDraining && m.omitDraining
 	})
 }
 
-// lines gives the lines of all servers at a position, be they listed then or not.
+// entries returns the entries of all servers at a position, whether they are listed then or not.
 func (m *lifecycleModel) entries(position int) []Entry {
 	var entries []Entry
 	for server := 1; server <= lifecycleServers; server++ {
@@ -259,7 +260,7 @@
 	return entries
 }
 
-// changed gives the lines that have changed between two positions.
+// changedEntries returns the entries that differ between two positions.
 func (m *lifecycleModel) changedEntries(from, to int) []Entry {
 	var entries []Entry
 	for server := 1; server <= lifecycleServers; server++ {
@@ -273,7 +274,7 @@
 	return entries
 }
 
-// next gives all steps that may follow.
+// nextSteps returns all steps that may come next.
 func (m *lifecycleModel) nextSteps() []step {
 	var all []step
 	for _, kind := range m.steps {
@@ -288,8 +289,8 @@
 	return all
 }
 
-// positions gives the positions of the history that a step may tell, and whether it may tell what
-// discovery says only then. A step that tells nothing has one position, 0.
+// positions returns the positions of the history that a step may tell, and whether it may also come with a new
+// change. A step that tells nothing has one position, 0.
 func (m *lifecycleModel) positions(kind stepKind) (first, last int, mayBeNew bool) {
 	const none = -1
 	current, latest := m.sources[m.followed].position, len(m.history)-1
@@ -329,7 +330,7 @@
 	return 0, 0, false
 }
 
-// withChanges gives the steps of a kind that tell something new.
+// stepsWithChange returns the steps of a kind that tell a new change.
 func (m *lifecycleModel) stepsWithChange(kind stepKind) []step {
 	var all []step
 	latest := len(m.history) - 1
@@ -341,7 +342,7 @@
 	return all
 }
 
-// state gives a digest of all that what follows rests on.
+// digest returns a digest of all that later steps depend on.
 func (m *lifecycleModel) digest() [sha256.Size]byte {
 	var text strings.Builder
 	fmt.Fprint(&text, m.history, m.sources, m.followed, m.answered, m.hasFormerSource, "|")
@@ -349,19 +350,19 @@
 	return sha256.Sum256([]byte(text.String()))
 }
 
-// exploration plays the paths of a scenario.
+// exploration explores the paths of a scenario.
 type exploration struct {
 	scenario
-	newMutation    func() mutation // for each path anew
+	newMutation    func() mutation // returns a new mutation for each path
 	isEnough       func(broken []violatingPath) bool
-	withoutMerging bool // paths are gone on with also where they lead to equal states
+	withoutMerging bool // also continues paths that lead to equal states
 
-	paths     int // that were played, each with requests after each step
-	states    int // that were gone on with
+	paths     int // number of paths explored, each with requests after each step
+	states    int // number of states that were continued from
 	violating []violatingPath
 }
 
-// brokenPath is a path at whose end a rule is broken.
+// violatingPath is a path at whose end a rule is violated.
 type violatingPath struct {
 	path       []step
 	violations []ruleViolation
@@ -375,16 +376,16 @@
 	return text
 }
 
-// breaks tells whether a rule is broken in a way.
+// violates reports whether the path has a violation of a kind.
 func (p violatingPath) violates(kind violationKind) bool {
 	return slices.ContainsFunc(p.violations, func(violation ruleViolation) bool { return violation.kind == kind })
 }
 
-// brokenMost bounds the broken paths of a scenario that are told; the first ones are the shortest.
+// maxReportedPaths limits the violating paths of a scenario that are reported. The first ones are the shortest.
 const maxReportedPaths = 5
 
-// explore plays all paths up to the scenario's depth, or until enough are broken. Of paths that lead to
-// equal states one is gone on with.
+// explore explores all paths up to the scenario's depth, or until enough of them violate rules. Of the paths that
+// lead to equal states, one is continued.
 func (e *exploration) explore() {
 	seen := map[[sha256.Size]byte]struct{}{}
 	defer func() { e.states = len(seen) }()
@@ -412,7 +413,7 @@
 	}
 }
 
-// play plays a path from the start.
+// replay performs the steps of a path from the start.
 func (e *exploration) replay(path []step) *lifecycleModel {
 	m := newLifecycleModel(e.scenario, e.newMutation())
 	for _, taken := range path {
@@ -425,7 +426,7 @@
 	return m
 }
 
-// The changes that discovery tells in the scenarios.
+// Changes that discovery tells in the scenarios.
 var (
 	firstServerChanges    = []serverChange{{1, changeDrain}, {1, changeRemove}, {1, changeReturn}, {1, changeRestart}}
 	drainAndReturnChanges = []serverChange{{1, changeDrain}, {1, changeReturn}, {1, changeRestart}}
@@ -433,7 +434,7 @@
 	partialSteps          = []stepKind{stepOutdatedList, stepCutAnswer, stepUnusableAnswer, stepUnversionedEntries}
 )
 
-// scenarios are what is explored. Together they have all kinds of steps; each is as deep as its time allows.
+// scenarios are what is explored. Together they have all kinds of steps. Each is as deep as its time allows.
 var scenarios = []scenario{
 	{
 		name: "one source", onRequest: true, changes: firstServerChanges, maxChanges: 3, maxDepth: 4,
@@ -456,7 +457,7 @@
 		steps: append([]stepKind{stepWholeList, stepChanges, stepRepeatedChanges, stepAddressChange, stepLongWait}, partialSteps...),
 	},
 	{
-		name: "restarts, asked", onRequest: true, unconfirmed: true, changes: drainAndReturnChanges, maxChanges: 2, maxDepth: 5,
+		name: "restarts, on request", onRequest: true, unconfirmed: true, changes: drainAndReturnChanges, maxChanges: 2, maxDepth: 5,
 		steps: []stepKind{stepWholeList, stepChanges, stepCutAnswer, stepAddressChange, stepFailedCall, stepRestart, stepRestartWithOldList, stepShortWait, stepConfirmationWait},
 	},
 	{
@@ -465,7 +466,7 @@
 	},
 }
 
-// Guards the rule on drains, and that no server is left out for ever, under all that may befall a node and
+// Guards the drain rule, and against servers that never get work again, under all that may happen to a node and
 // its list.
 func TestServerLifecyclesInAllOrdersOfEvents(t *testing.T) {
 	paths, states := 0, 0
--- a/policy/lifecycle_mutation_test.go
+++ b/policy/lifecycle_mutation_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// always gives a mutation that changes events in a way.
+// changeEachUpdate returns a mutation that applies a change to each update.
 func changeEachUpdate(change func(event *listUpdate)) mutation {
 	return mutation{changeUpdate: func(event listUpdate) listUpdate {
 		event.entries = slices.Clone(event.entries)
@@ -15,7 +15,8 @@
 	}}
 }
 
-// lastWordCounts is a node that takes each list as the latest word, as the release before tombstones did.
+// latestUpdateWins returns a mutation by which each list counts as the latest statement, as it did before there
+// were tombstones.
 func latestUpdateWins() mutation {
 	version := int64(0)
 	return changeEachUpdate(func(event *listUpdate) {
@@ -27,16 +28,16 @@
 	})
 }
 
-// lifecycleMutations are faults that the model has to find, with the rule that each breaks.
+// lifecycleMutations are faults that the model has to find, with the rule that each violates.
 var lifecycleMutations = []struct {
 	name     string
 	scenario string
 	mutation func() mutation
 	want     violationKind
 }{
-	{"the last word counts", "one source", latestUpdateWins, sentToOutOfService},
-	{"the last word counts", "two sources", latestUpdateWins, sentToOutOfService},
-	{"the last word counts, also of a former start", "two sources", latestUpdateWins, sentToFormerIncarnation},
+	{"the latest update wins", "one source", latestUpdateWins, sentToOutOfService},
+	{"the latest update wins", "two sources", latestUpdateWins, sentToOutOfService},
+	{"the latest update wins, also about a former start", "two sources", latestUpdateWins, sentToFormerIncarnation},
 	{"all sources are one", "two sources", func() mutation {
 		return changeEachUpdate(func(event *listUpdate) { event.origin.Source = 1 })
 	}, sentToOutOfService},
@@ -47,7 +48,7 @@
 			}
 		})
 	}, sentToFormerIncarnation},
-	{"lines of answers that are not whole are dropped", "two sources, partial answers", func() mutation {
+	{"entries of partial answers are dropped", "two sources, partial answers", func() mutation {
 		return changeEachUpdate(func(event *listUpdate) {
 			if event.kind == ListPartial {
 				event.entries = nil
@@ -75,7 +76,7 @@
 			event.origin.Source = source
 		})
 	}, inServiceWithoutWork},
-	{"whole answers count in part", "one source", func() mutation {
+	{"changes count as partial answers", "one source", func() mutation {
 		return changeEachUpdate(func(event *listUpdate) {
 			if event.kind == ListChanges {
 				event.kind = ListPartial
@@ -87,7 +88,7 @@
 			event.entries = slices.DeleteFunc(event.entries, func(e Entry) bool { return e.StartedAt > 0 })
 		})
 	}, inServiceWithoutWork},
-	{"each line of an answer that is not whole counts as leaving", "one source", func() mutation {
+	{"each entry of a partial answer counts as out of service", "one source", func() mutation {
 		return changeEachUpdate(func(event *listUpdate) {
 			for i := range event.entries {
 				if event.kind == ListPartial {
@@ -96,31 +97,31 @@
 			}
 		})
 	}, cancelledInService},
-	{"a kept list counts as confirmed", "restarts, pushed", func() mutation {
+	{"a cached list counts as confirmed", "restarts, pushed", func() mutation {
 		return changeEachUpdate(func(event *listUpdate) {
 			if event.kind == ListCached {
 				event.kind = ListWhole
 			}
 		})
 	}, sentUnconfirmed},
-	{"a kept list counts as confirmed", "restarts, asked", func() mutation {
+	{"a cached list counts as confirmed", "restarts, on request", func() mutation {
 		return changeEachUpdate(func(event *listUpdate) {
 			if event.kind == ListCached {
 				event.kind = ListWhole
 			}
 		})
 	}, sentUnconfirmed},
-	{"attempts go on at servers that leave", "one source", func() mutation {
+	{"unsent attempts at servers out of service are not cancelled", "one source", func() mutation {
 		return mutation{ignoresCancelUnsent: true}
 	}, notCancelledOutOfService},
 }
 
-// scenarioOf gives the scenario of a name.
+// scenarioNamed returns the scenario of a name.
 func scenarioNamed(name string) scenario {
 	return scenarios[slices.IndexFunc(scenarios, func(s scenario) bool { return s.name == name })]
 }
 
-// The model has to find what breaks a rule, or it proves nothing.
+// Guards against a model that finds no violations, which would prove nothing.
 func TestLifecycleModelFindsMutations(t *testing.T) {
 	for _, c := range lifecycleMutations {
 		finds := func(broken []violatingPath) bool {
@@ -136,11 +137,12 @@
 	}
 }
 
-// Paths that lead to equal states are merged. With faults in place, what is found must be the same without.
+// Guards against violations that are missed because paths with equal states are merged: without merging, the
+// same ones have to be found.
 func TestLifecycleModelFindsTheSameWithoutMerging(t *testing.T) {
 	const depth = 3
 	all := func([]violatingPath) bool { return false }
-	for _, name := range []string{"two sources", "two servers", "restarts, asked"} {
+	for _, name := range []string{"two sources", "two servers", "restarts, on request"} {
 		s := scenarioNamed(name)
 		s.maxDepth = depth
 		merged := exploration{scenario: s, newMutation: latestUpdateWins, isEnough: all}
@@ -149,12 +151,12 @@
 		apart.explore()
 		want, got := distinctViolations(apart.violating), distinctViolations(merged.violating)
 		if len(want) == 0 || !maps.Equal(got, want) {
-			t.Errorf("%s: %d breaks in %d merged paths, %d in %d paths", s.name, len(got), merged.paths, len(want), apart.paths)
+			t.Errorf("%s: %d violations in %d merged paths, %d in %d paths", s.name, len(got), merged.paths, len(want), apart.paths)
 		}
 	}
 }
 
-// ruleBreaks gives the different breaks of rules.
+// distinctViolations returns the distinct violations of rules.
 func distinctViolations(paths []violatingPath) map[ruleViolation]struct{} {
 	violations := map[ruleViolation]struct{}{}
 	for _, path := range paths {
--- a/policy/lifecycle_run_test.go
+++ b/policy/lifecycle_run_test.go
@@ -10,7 +10,7 @@
 
 const (
 	lifecycleServers = 2
-	lifecycleStartAt = time.Hour // of the first process
+	lifecycleStartAt = time.Hour // start of the first process
 
 	// Times that pass in a step. The long one ends shortly before all sources must have caught up.
 	shortWait        = time.Second
@@ -23,15 +23,15 @@
 	request   RequestID
 	index     int
 	server    ServerID
-	startedAt time.Duration // the life of the server as the Balancer knows it
+	startedAt time.Duration // incarnation of the server as the Balancer knows it
 	cancelled bool
 }
 
-// lifecycleHost is the Host of one Balancer: it keeps its attempts that are out, and its timers.
+// lifecycleHost is the Host of one Balancer. It keeps the attempts in flight and the timers.
 type lifecycleHost struct {
 	attempts []*lifecycleAttempt
 	timers   []timer
-	onSend   func(a *lifecycleAttempt) // told of each attempt that begins
+	onSend   func(a *lifecycleAttempt) // called with each attempt that begins
 
 	ignoresCancelUnsent bool
 }
@@ -48,7 +48,7 @@
 	h.onSend(a)
 }
 
-// Withdraw implements Host.
+// CancelUnsent implements Host.
 func (h *lifecycleHost) CancelUnsent(id RequestID, index int) {
 	for _, a := range h.attempts {
 		if a.request == id && a.index == index && !h.ignoresCancelUnsent {
@@ -62,7 +62,7 @@
 	h.timers = append(h.timers, timer{at, token})
 }
 
-// nextTimer takes out the first timer up to a time.
+// takeDueTimer removes and returns the first timer up to a time.
 func (h *lifecycleHost) takeDueTimer(until time.Duration) (next timer, due bool) {
 	if len(h.timers) == 0 {
 		return timer{}, false
@@ -80,7 +80,7 @@
 	return next, true
 }
 
-// The other actions of a Host, at which the model does not look.
+// The other actions of a Host are of no interest to the model.
 
 func (h *lifecycleHost) SetWriteDeadline(RequestID, time.Duration) {}
 func (h *lifecycleHost) Cancel(RequestID, int)                     {}
@@ -90,14 +90,14 @@
 func (h *lifecycleHost) StartCall(Call)                            {}
 func (h *lifecycleHost) CancelCall(CallID)                         {}
 
-// mutation stands in for a fault of the code, to show that the model finds it.
+// mutation stands for a fault of the code, to show that the model finds it.
 type mutation struct {
-	changeUpdate        func(event listUpdate) listUpdate // changes an event on its way to the Balancer; or nil
-	ignoresCancelUnsent bool                              // the host does not hear of them
+	changeUpdate        func(event listUpdate) listUpdate // changes an update on its way to the Balancer; may be nil
+	ignoresCancelUnsent bool                              // the host does not carry out CancelUnsent
 }
 
-// lifecycleRun drives the process of a node, and that of its successors, by events of a list. It has
-// requests sent after each of them, and collects what breaks the rules.
+// lifecycleRun runs the process of a node, and its successors, with updates of a list. It sends requests after
+// each of them and collects the violations of rules.
 type lifecycleRun struct {
 	settings     Settings
 	mutation     mutation
@@ -107,12 +107,13 @@
 	lastRequest  RequestID
 	openRequests []RequestID
 
-	safety     *lifecycleChecker // of what may be sent
-	liveness   *lifecycleChecker // and of what has to be
+	safety     *lifecycleChecker // checks what may be sent
+	liveness   *lifecycleChecker // checks what has to be sent
 	violations []ruleViolation
 }
 
-// lifecycleSettings are those of a node that works with each server, whose starts are never cold.
+// lifecycleSettings returns the settings of a node that works with each server, and for which restarted servers
+// are never cold.
 func lifecycleSettings(onRequest bool) Settings {
 	settings := testSettings()
 	settings.ListOnRequest, settings.ConfirmCachedList = onRequest, true
@@ -124,13 +125,13 @@
 	return &lifecycleRun{settings: lifecycleSettings(onRequest), mutation: mutation, now: lifecycleStartAt}
 }
 
-// restart ends the process and starts another one with a kept list.
+// restart ends the process and starts another one with a cached list.
 func (r *lifecycleRun) restart(cached listUpdate) {
 	r.host = &lifecycleHost{onSend: r.checkSend, ignoresCancelUnsent: r.mutation.ignoresCancelUnsent}
 	r.openRequests = r.openRequests[:0]
 	balancer, err := New(r.settings, 1, r.host)
 	if err != nil {
-		panic(err) // the settings of the model are sound
+		panic(err) // the settings of the model are valid
 	}
 	r.balancer = balancer
 	r.safety = newLifecycleChecker(r.now, r.settings.ListOnRequest, startsAtAddressChange)
@@ -138,7 +139,7 @@
 	r.deliver(cached)
 }
 
-// hear hands an event on and checks what the Balancer makes of it.
+// deliver passes an update on and checks what the Balancer does with it.
 func (r *lifecycleRun) deliver(event listUpdate) {
 	r.safety.apply(r.now, event)
 	r.liveness.apply(r.now, event)
@@ -151,7 +152,7 @@
 	r.probe()
 }
 
-// wait lets time pass.
+// wait advances the time.
 func (r *lifecycleRun) wait(span time.Duration) {
 	r.endRequests()
 	end := r.now + span
@@ -186,14 +187,16 @@
 	}
 }
 
-// inService tells whether a server has to get work, and which life of it: where the judges differ it need not.
+// mustGetWork reports whether a server has to get work, and which incarnation of it. Where the checkers differ
+// it need not.
 func (r *lifecycleRun) mustGetWork(server ServerID) (startedAt time.Duration, required bool) {
 	startedAt, required = r.liveness.mustGetWork(r.now, server)
 	safetyStartedAt, mayBeRequired := r.safety.mustGetWork(r.now, server)
 	return startedAt, required && mayBeRequired && startedAt == safetyStartedAt
 }
 
-// endRequests has the clients of all open requests leave. Attempts that were withdrawn end as not sent.
+// endRequests has the clients of all open requests disconnect. Attempts that were cancelled unsent end as not
+// sent.
 func (r *lifecycleRun) endRequests() {
 	for _, id := range r.openRequests {
 		r.balancer.ClientDisconnected(r.now, id)
@@ -209,7 +212,7 @@
 	r.host.attempts = r.host.attempts[:0]
 }
 
-// judgeSend judges an attempt that begins.
+// checkSend checks an attempt that begins.
 func (r *lifecycleRun) checkSend(a *lifecycleAttempt) {
 	line, listed := r.balancer.serverList.Get(a.server)
 	if !listed {
@@ -222,7 +225,7 @@
 	}
 }
 
-// judgeWithdrawals judges which attempts were taken back by an event.
+// checkCancellations checks which attempts an update has cancelled.
 func (r *lifecycleRun) checkCancellations() {
 	for _, a := range r.host.attempts {
 		startedAt, required := r.mustGetWork(a.server)
@@ -235,13 +238,13 @@
 	}
 }
 
-// breaks notes that a rule was broken.
+// recordViolation records that a rule was violated.
 func (r *lifecycleRun) recordViolation(kind violationKind, server ServerID, startedAt time.Duration) {
 	r.violations = append(r.violations, ruleViolation{kind: kind, at: r.now - lifecycleStartAt, server: server, startedAt: startedAt})
 }
 
-// state words all that further verdicts rest on: two runs with equal words go on alike. It leaves out what
-// the Balancer learns of servers by their outcomes, as these are all alike.
+// writeState writes all that later results depend on: two runs with equal states continue alike. It leaves out
+// what the Balancer learns of servers by their outcomes, as these are all alike.
 func (r *lifecycleRun) writeState(text *strings.Builder) {
 	b := r.balancer
 	fmt.Fprint(text, r.now, b.listOrigin, b.sourceFollowedSince, b.readyReported, b.serving)
--- a/policy/tombstone_faults_test.go
+++ b/policy/tombstone_faults_test.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// sources of lists in these tests.
+// firstSource and secondSource are sources of lists in these tests.
 const firstSource, secondSource SourceID = 1, 2
 
-// from takes in a list or changes of a source at a version.
+// deliverListFrom delivers a list or changes of a source at a version.
 func (r *runner) deliverListFrom(source SourceID, version int64, kind ListKind, entries ...Entry) {
 	r.b.ListUpdatedFrom(r.now, Origin{Source: source, Version: version}, kind, entries)
 }
 
-// life is a line of a server at one of its starts.
+// incarnation returns the entry of a server with the given start.
 func incarnation(server ServerID, state ServerState, started time.Duration) Entry {
 	return Entry{Server: server, State: state, Weight: 1, StartedAt: started}
 }
 
-// inService tells whether a server may be sent to.
+// inService reports whether a server is listed in service.
 func (r *runner) inService(server ServerID) bool {
 	line, listed := r.b.serverList.Get(server)
 	return listed && line.State == StateInService
 }
 
-// lifeRig has a balancer whose clock is far from its start, with two servers of firstSource at version 10;
-// server 1 has started at the given time.
+// newTwoServerRunner returns a node whose clock is far from 0, with two servers that firstSource lists at
+// version 10. Server 1 has the given start.
 func newTwoServerRunner(t *testing.T, started time.Duration) *runner {
 	t.Helper()
 	r := newRunner(t, testSettings(), 2)
@@ -34,8 +34,9 @@
 	return r
 }
 
-// Guards rule 3: a source that tells a drain may date the start of the server otherwise than one that lags, as
-// 0 for long ago or by a wall clock that was stepped back. The life that was known ends with it.
+// Guards the drain rule: a source that tells a drain may date the start of the server differently from a
+// replica that lags, as 0 for long ago or by a wall clock that was stepped back. The drain ends the known
+// incarnation all the same.
 func TestStaleEntryWithALaterStartDoesNotUndoADrain(t *testing.T) {
 	for name, startedAt := range map[string]time.Duration{
 		"long ago":                   0,
@@ -49,16 +50,16 @@
 			r.now += time.Second
 			r.deliverListFrom(firstSource, 10, ListWhole, incarnation(1, StateInService, 30*time.Minute), incarnation(2, StateInService, 0))
 			if r.inService(1) {
-				t.Errorf("%s, state %d: the list of before puts the server into service again", name, state)
+				t.Errorf("%s, state %d: an outdated list puts the server into service again", name, state)
 			}
 		}
 	}
 }
 
-// Guards rule 3: another source may date the start of the same life as long ago. What it takes out of service
-// is out.
+// Guards the drain rule: another source may date the start of the same incarnation as long ago. A server that
+// it takes out of service is out.
 func TestDrainByAnotherSourceThatDatesTheStartAsLongAgoCounts(t *testing.T) {
-	for name, kind := range map[string]ListKind{"whole list": ListWhole, "changes": ListChanges, "part of an answer": ListPartial} {
+	for name, kind := range map[string]ListKind{"whole list": ListWhole, "changes": ListChanges, "partial answer": ListPartial} {
 		r := newTwoServerRunner(t, 30*time.Minute)
 		r.now += time.Second
 		r.deliverListFrom(firstSource, 10, ListAddressChanged)
@@ -69,8 +70,8 @@
 	}
 }
 
-// A whole list that is empty by mistake must not keep all servers out once the right one of the same version
-// has come.
+// Guards against servers that stay out after a whole list that is empty by mistake, once the correct list of
+// the same version has come.
 func TestCorrectListAfterAnEmptyOneOfTheSameVersionServes(t *testing.T) {
 	r := newTwoServerRunner(t, 0)
 	r.now += time.Second
@@ -79,14 +80,15 @@
 	r.deliverListFrom(firstSource, 10, ListWhole, inServiceEntries(1, 2)...)
 	for began := r.now; !r.inService(1); r.now += 2 * time.Second {
 		if r.now-began > 5*time.Second {
-			t.Fatalf("no server is in service %v after the right list came", r.now-began)
+			t.Fatalf("no server is in service %v after the correct list came", r.now-began)
 		}
 		r.deliverListFrom(firstSource, 10, ListChanges)
 	}
 }
 
-// A server that the present source has listed in service for longer than a replica may lag gets work, also
-// where that source's versions go back now and then, as behind an address that several replicas share.
+// Guards against a server that gets no work for ever. The current source has listed it in service for longer
+// than a replica may lag, and its versions go back now and then, as behind an address that several replicas
+// share.
 func TestServerIsNotHeldForEverWhileVersionsGoBack(t *testing.T) {
 	r := newTwoServerRunner(t, 0)
 	r.deliverListFrom(firstSource, 11, ListChanges, incarnation(1, StateDraining, 0))
@@ -103,7 +105,7 @@
 	}
 }
 
-// The number of tombstones has a bound, whatever discovery says.
+// Guards memory against any number of tombstones, whatever discovery says.
 func TestTombstonesAreBounded(t *testing.T) {
 	r := newTwoServerRunner(t, 0)
 	most := 0
@@ -116,11 +118,11 @@
 		most = max(most, len(r.b.tombstones.byServer))
 	}
 	if most > maxTombstones {
-		t.Errorf("%d tombstones, over the bound of %d", most, maxTombstones)
+		t.Errorf("%d tombstones, want at most %d", most, maxTombstones)
 	}
 }
 
-// What is held must not make changes cost more than in proportion to their lines.
+// Guards against changes that cost more than in proportion to their entries while servers are held.
 func TestCostOfChangesWhileServersAreHeld(t *testing.T) {
 	cost := func(servers int) time.Duration {
 		r := newTwoServerRunner(t, 0)
@@ -139,18 +141,18 @@
 		return time.Since(began)
 	}
 	short, long := cost(1000), cost(16*1000)
-	t.Logf("1,000 lines: %v, 16,000 lines: %v", short, long)
+	t.Logf("1,000 entries: %v, 16,000 entries: %v", short, long)
 	if ratio := float64(long) / float64(short); ratio > 64 {
-		t.Errorf("changes of 16 times as many lines cost %.0f times as much", ratio)
+		t.Errorf("changes of 16 times as many entries cost %.0f times as much", ratio)
 	}
 }
 
-// Guards rule 3: changes since the version that took a server out say nothing of it, also where two contents had
-// one version.
+// Guards the drain rule: changes since the version that took a server out say nothing about it, also where two
+// contents had the same version.
 func TestChangesSinceALaterVersionDoNotUndoANotice(t *testing.T) {
 	for name, c := range map[string]struct {
-		version int64 // of the part that takes the server out, where the node has 10
-		back    bool  // changes from 10 to 12 that do not name it put it back
+		version int64 // version of the partial answer that takes the server out, where the node has version 10
+		back    bool  // changes from version 10 to 12 that do not name the server put it back
 	}{
 		"an earlier version": {9, true},
 		"the same version":   {10, false},
@@ -159,10 +161,10 @@
 		r := newTwoServerRunner(t, 0)
 		r.deliverListFrom(firstSource, c.version, ListPartial, incarnation(1, StateDraining, 0))
 		if r.inService(1) {
-			t.Errorf("%s: the part does not count", name)
+			t.Errorf("%s: the partial answer does not take the server out of service", name)
 		}
 		if r.deliverListFrom(firstSource, 12, ListChanges); r.inService(1) != c.back {
-			t.Errorf("%s: in service %v behind changes that do not name it, want %v", name, r.inService(1), c.back)
+			t.Errorf("%s: in service %v after changes that do not name the server, want %v", name, r.inService(1), c.back)
 		}
 	}
 }
