--- a/policy/calls.go
+++ b/policy/calls.go
@@ -23,7 +23,7 @@
 	// timerSlack allows for a host that rounds the times of its timers.
 	timerSlack = time.Millisecond
 
-	// A restarted node serves requests by its cached list once discovery has told what changed, and refuses
+	// A restarted node serves requests by its cached list once discovery has reported what changed, and refuses
 	// requests until then. It reports that it is ready for clients after minReadyDelay to maxReadyDelay even
 	// without an answer: nine in ten nodes have to be ready within 10 s, and on short days within 6 s.
 	minReadyDelay = 5 * time.Second
@@ -57,8 +57,8 @@
 	failureFreeSince   time.Duration // no call has failed since then
 	flakyUntil         time.Duration // calls count as failing at random until then
 	answerDelay        time.Duration // delay of the latest answer
-	answeredAt         time.Duration // time at which discovery last told all that it had; 0: not yet
-	listDeadline       time.Duration // from then on the node is expected to know what it has not heard; 0: none yet
+	answeredAt         time.Duration // time of the last complete answer; 0: none yet
+	listDeadline       time.Duration // from then on the node is expected to know what it has not received; 0: none yet
 	overdueReported    bool          // the observer was told that the list deadline has passed
 	failingSince       time.Duration // start of the present series of failed calls
 }
@@ -153,7 +153,7 @@
 	b.callAnswered(now, call, isNewest, end.Changed)
 }
 
-// callAnswered records that discovery has told all that it has, and continues with a watch.
+// callAnswered records a complete answer of discovery and continues with a watch.
 func (b *Balancer) callAnswered(now time.Duration, call inFlightCall, isNewest, changed bool) {
 	c := &b.calls
 	if b.settings.LongPolling || !c.watching {
@@ -182,9 +182,9 @@
 	}
 }
 
-// setListDeadline sets the time from which on the node is expected to know what it has not heard. That is
-// maxListAge after the time as of which the node knows the list, which is earlier than its last answer by the
-// delay of that answer.
+// setListDeadline sets the time from which on the node is expected to know changes that it has not received.
+// That is maxListAge after the time as of which the node knows the list, which is earlier than its last answer
+// by the delay of that answer.
 func (b *Balancer) setListDeadline(now, deadline time.Duration) {
 	b.calls.listDeadline = deadline
 	b.calls.overdueReported = b.calls.overdueReported && deadline <= now
--- a/policy/calls_test.go
+++ b/policy/calls_test.go
@@ -43,7 +43,7 @@
 
 // Guards the drain rule (no request goes to a server that the node is expected to know to be out of service) after
 // a restart: the node may already be expected to know what changed while it was down, so nothing is sent by the
-// cached list until discovery has told what changed.
+// cached list until discovery has reported what changed.
 func TestNothingIsSentByAListThatIsNotConfirmed(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, nodes int, seed uint64) {
 		r := newOnRequestRunner(t, nodes, seed, true)
--- a/policy/discovery_faults_test.go
+++ b/policy/discovery_faults_test.go
@@ -89,21 +89,21 @@
 func (m *discoveryRun) beginCall(call Call) {
 	m.callTimes = append(m.callTimes, m.now)
 	c := &modelCall{sinceVersion: m.knownChanges, arrivesAt: m.now + 2*ms, answerTransit: 3 * ms}
-	f, inTurn := m.faultOfCall()
+	fault, inTurn := m.faultOfCall()
 	if !inTurn {
-		f = m.fault
+		fault = m.fault
 	}
 	if inTurn || m.isFaultActive(m.now) {
 		drawn := m.rng.Float64()
-		c.arrivesAt, c.answerTransit = c.arrivesAt+f.callDelay, c.answerTransit+f.answerDelay
+		c.arrivesAt, c.answerTransit = c.arrivesAt+fault.callDelay, c.answerTransit+fault.answerDelay
 		switch {
-		case drawn < f.refuseShare:
+		case drawn < fault.refuseShare:
 			c.result, c.endsAt = CallRefused, m.now+5*ms
-		case drawn < f.refuseShare+f.lateRefuseShare:
-			c.result, c.endsAt = CallRefused, m.now+cmp.Or(f.lateRefuseAfter, 2*time.Second)
-		case drawn < f.refuseShare+f.lateRefuseShare+f.noAnswerShare:
+		case drawn < fault.refuseShare+fault.lateRefuseShare:
+			c.result, c.endsAt = CallRefused, m.now+cmp.Or(fault.lateRefuseAfter, 2*time.Second)
+		case drawn < fault.refuseShare+fault.lateRefuseShare+fault.noAnswerShare:
 			c.neverAnswered = true
-		case drawn < f.refuseShare+f.lateRefuseShare+f.noAnswerShare+f.unusableShare:
+		case drawn < fault.refuseShare+fault.lateRefuseShare+fault.noAnswerShare+fault.unusableShare:
 			c.result = CallUnusable
 		}
 	}
@@ -168,14 +168,14 @@
 
 // playRandomChanges makes changes at random times for the given time. It returns how long after its deadline
 // the latest change was known, and how many were late.
-func (m *discoveryRun) playRandomChanges(length time.Duration) (latest time.Duration, late int) {
+func (m *discoveryRun) playRandomChanges(duration time.Duration) (latest time.Duration, late int) {
 	const step = 5 * ms
 	for m.firstAnswerAt == 0 {
 		m.advanceStep(step)
 	}
 	next, checked := m.firstAnswerAt+m.fault.noChangesBefore+time.Duration(m.rng.Int64N(int64(4*time.Second))), 0
-	for m.now < m.firstAnswerAt+length || checked < len(m.changes) {
-		if m.now >= next && m.now < m.firstAnswerAt+length {
+	for m.now < m.firstAnswerAt+duration || checked < len(m.changes) {
+		if m.now >= next && m.now < m.firstAnswerAt+duration {
 			m.makeChange()
 			next += time.Second + time.Duration(m.rng.Int64N(int64(7*time.Second)))
 		}
@@ -186,7 +186,7 @@
 				late++
 			}
 		}
-		if m.now > m.firstAnswerAt+length+2*time.Minute {
+		if m.now > m.firstAnswerAt+duration+2*time.Minute {
 			m.t.Fatalf("a change is not known %v after its deadline", m.now-m.changes[checked].deadline)
 		}
 	}
@@ -283,8 +283,8 @@
 	for _, kind := range []discoveryFault{
 		{name: "refuses", refuseShare: 1}, {name: "refuses after 2 s", lateRefuseShare: 1}, {name: "never answers", noAnswerShare: 1},
 	} {
-		for _, lasts := range []time.Duration{50 * ms, 300 * ms, 700 * ms, 2 * time.Second, 6 * time.Second, 75 * time.Second} {
-			kind.from, kind.to = 5*time.Second, 5*time.Second+lasts
+		for _, duration := range []time.Duration{50 * ms, 300 * ms, 700 * ms, 2 * time.Second, 6 * time.Second, 75 * time.Second} {
+			kind.from, kind.to = 5*time.Second, 5*time.Second+duration
 			requireChangesKnownInTime(t, true, 8, kind)
 		}
 	}
@@ -298,17 +298,17 @@
 		const nodes = 300
 		m := newDiscoveryRun(t, false, nodes, 1, fault)
 		m.playRandomChanges(fault.to)
-		begun := 0
+		calls := 0
 		const settled = 10 * time.Second // time after which the first calls, which come sooner, are over
 		for _, at := range m.callTimes {
 			if m.isFaultActive(at) && m.isFaultActive(at-settled) {
-				begun++
+				calls++
 			}
 		}
 		if fault.unusableShare > 0 {
-			begun -= maxBursts * callsPerBurst // bursts come once
+			calls -= maxBursts * callsPerBurst // bursts come once
 		}
-		work := time.Duration(begun*nodes) * changesCallDuration
+		work := time.Duration(calls*nodes) * changesCallDuration
 		if outage := fault.to - fault.from - settled; work > outage {
 			t.Errorf("%s: calls take discovery %v in an outage of %v", fault.name, work, outage)
 		}
@@ -353,13 +353,13 @@
 	if want := fmt.Sprint([]CallID{first, first + 1}); fmt.Sprint(r.host.endedCalls) != want {
 		t.Fatalf("calls %v are cancelled, want %s", r.host.endedCalls, want)
 	}
-	before := r.host.callCount
+	callsBefore := r.host.callCount
 	r.b.CallEnded(r.now, CallEnd{ID: first, Result: CallFailed})
-	if r.host.callCount != before {
+	if r.host.callCount != callsBefore {
 		t.Error("the end of a cancelled call makes another one begin")
 	}
 	r.b.CallEnded(r.now, CallEnd{ID: first + 3, Result: CallAnswered, Changed: true})
-	if r.host.callCount != before+1 || r.host.calls[before].WaitForChanges == 0 {
+	if r.host.callCount != callsBefore+1 || r.host.calls[callsBefore].WaitForChanges == 0 {
 		t.Error("no watch begins after the answer to the newest call")
 	}
 }
@@ -367,25 +367,25 @@
 // Guards against missing a very late answer: however many calls are late, calls of all ages stay in flight.
 func TestCallsOfAllAgesStayInFlight(t *testing.T) {
 	r := newPollingRunner(t, false, 1, 1)
-	begun := map[CallID]time.Duration{r.latestCall(): r.now}
+	startTimes := map[CallID]time.Duration{r.latestCall(): r.now}
 	for range 200 {
 		r.awaitNextCall(r.now + maxCallPeriod)
-		begun[r.latestCall()] = r.now
+		startTimes[r.latestCall()] = r.now
 		for _, id := range r.host.endedCalls {
-			delete(begun, id)
+			delete(startTimes, id)
 		}
 	}
-	if len(begun) != maxCallsInFlight {
-		t.Fatalf("%d calls are in flight, want %d", len(begun), maxCallsInFlight)
+	if len(startTimes) != maxCallsInFlight {
+		t.Fatalf("%d calls are in flight, want %d", len(startTimes), maxCallsInFlight)
 	}
 	for span := 4 * time.Second; span <= 64*time.Second; span *= 2 {
 		found := false
-		for _, at := range begun {
+		for _, at := range startTimes {
 			age := r.now - at
 			found = found || age >= span/2 && age <= 2*span
 		}
 		if !found {
-			t.Errorf("no call has been in flight for about %v: %v", span, begun)
+			t.Errorf("no call has been in flight for about %v: %v", span, startTimes)
 		}
 	}
 }
@@ -477,13 +477,13 @@
 // Guards against retries at the same moment, and against delays that do not grow as they are doubled.
 func TestJitterStaysInItsRange(t *testing.T) {
 	r := newRunner(t, testSettings(), 1)
-	least, most := time.Hour, time.Duration(0)
+	shortest, longest := time.Hour, time.Duration(0)
 	for range 1000 {
 		delay := r.b.jitter(time.Second)
-		least, most = min(least, delay), max(most, delay)
+		shortest, longest = min(shortest, delay), max(longest, delay)
 	}
-	if least < 800*ms || most > 1200*ms || most-least < 200*ms {
-		t.Errorf("jittered delays of 1 s lie between %v and %v, want 800 ms to 1.2 s and 200 ms of spread", least, most)
+	if shortest < 800*ms || longest > 1200*ms || longest-shortest < 200*ms {
+		t.Errorf("jittered delays of 1 s lie between %v and %v, want 800 ms to 1.2 s and 200 ms of spread", shortest, longest)
 	}
 }
 
--- a/policy/crowded_return_test.go
+++ b/policy/discovery_recovery_test.go
@@ -75,24 +75,24 @@
 // all the same.
 func TestFleetIsAnsweredByABusyDiscoveryInTimeAfterAnOutage(t *testing.T) {
 	for _, c := range []struct {
-		nodes    int
-		callFor  time.Duration
-		waitMost time.Duration
-		seeds    int
+		nodes        int
+		callDuration time.Duration
+		maxWait      time.Duration
+		seeds        int
 	}{
 		{6, 300 * ms, time.Second, 400}, {12, 150 * ms, time.Second, 100}, {30, 60 * ms, time.Second, 40}, {300, 6 * ms, time.Second, 4},
 		{6, 600 * ms, 2400 * ms, 100}, {32, 90 * ms, 2400 * ms, 40},
 	} {
 		late, longest := 0, time.Duration(0)
 		for seed := range c.seeds {
-			took := recoveryTime(t, c.nodes, c.callFor, c.waitMost, uint64(seed))
+			took := recoveryTime(t, c.nodes, c.callDuration, c.maxWait, uint64(seed))
 			if longest = max(longest, took); took > maxListAge {
 				late++
 			}
 		}
 		if late > 0 {
 			t.Errorf("%d nodes, %v a call, which waits for %v at most: in %d of %d outages a node has its answer later than %v, the last one %v after the outage",
-				c.nodes, c.callFor, c.waitMost, late, c.seeds, maxListAge, longest)
+				c.nodes, c.callDuration, c.maxWait, late, c.seeds, maxListAge, longest)
 		}
 	}
 }
@@ -117,12 +117,12 @@
 		fleet[i].deliverList(ListCached, inServiceEntries(1, 3)...)
 	}
 	for now := start; ; now += 5 * ms {
-		all := true
+		allRecovered := true
 		for _, r := range fleet {
 			r.advanceTo(now, d)
-			all = all && r.recovered
+			allRecovered = allRecovered && r.recovered
 		}
-		if all {
+		if allRecovered {
 			return now - d.downUntil
 		}
 		if now > d.downUntil+time.Minute {
--- a/policy/late_answers_test.go
+++ b/policy/late_answers_test.go
@@ -42,8 +42,8 @@
 
 // timeToLearnMissedChange makes a change that the calls in flight miss, and returns the time until the node
 // knows it.
-func (m *discoveryRun) timeToLearnMissedChange(turns []discoveryFault) time.Duration {
-	m.faultCycle, m.faultCycleSince = turns, m.now
+func (m *discoveryRun) timeToLearnMissedChange(faults []discoveryFault) time.Duration {
+	m.faultCycle, m.faultCycleSince = faults, m.now
 	for _, call := range m.inFlight {
 		call.missesChanges = true
 	}
@@ -147,8 +147,8 @@
 	if len(m.faultCycle) == 0 {
 		return discoveryFault{}, false
 	}
-	begun := slices.IndexFunc(m.callTimes, func(at time.Duration) bool { return at >= m.faultCycleSince })
-	return m.faultCycle[(len(m.callTimes)-1-max(begun, 0))%len(m.faultCycle)], true
+	firstInCycle := slices.IndexFunc(m.callTimes, func(at time.Duration) bool { return at >= m.faultCycleSince })
+	return m.faultCycle[(len(m.callTimes)-1-max(firstInCycle, 0))%len(m.faultCycle)], true
 }
 
 // overdueCounter counts the reports of an overdue list.
@@ -161,13 +161,13 @@
 func (c *overdueCounter) CallPlanned(_, _ time.Duration)  {}
 func (c *overdueCounter) ListOverdue(since time.Duration) { c.reports, c.since = c.reports+1, since }
 
-// Guards against a node that does not report, or reports repeatedly, that what it has heard is older than the
+// Guards against a node that does not report, or reports repeatedly, that what it has received is older than the
 // rules allow. An answer with such a delay is too old as well.
 func TestOverdueListIsReportedOnce(t *testing.T) {
 	for name, c := range map[string]struct {
-		turns  []discoveryFault
-		passes time.Duration
-		want   int
+		faults   []discoveryFault
+		duration time.Duration
+		want     int
 	}{
 		"answers come":                           {nil, 60 * time.Second, 0},
 		"answers come 3 s late":                  {[]discoveryFault{{answerDelay: 3 * time.Second}}, 60 * time.Second, 0},
@@ -180,8 +180,8 @@
 		counter := &overdueCounter{}
 		m.b.Observe(counter)
 		m.advanceUntil(5 * time.Second)
-		m.faultCycle, m.faultCycleSince = c.turns, m.now
-		m.advanceInSteps(c.passes)
+		m.faultCycle, m.faultCycleSince = c.faults, m.now
+		m.advanceInSteps(c.duration)
 		if counter.reports != c.want {
 			t.Errorf("%s: overdue list reported %d times, want %d", name, counter.reports, c.want)
 		}
@@ -204,8 +204,8 @@
 func TestChangeIsKnownInTimeAfterAReloadThoughAnswersAreLate(t *testing.T) {
 	const seeds, toLate = 12, maxAddressChangeDelay - maxLateThreshold
 	for _, kind := range []struct {
-		name  string
-		turns []discoveryFault
+		name   string
+		faults []discoveryFault
 	}{
 		{"each answer is late by 3.5 s", []discoveryFault{{answerDelay: 3500 * ms}}},
 		{"every other call is refused, answers are late by 2.5 s", []discoveryFault{{refuseShare: 1}, {answerDelay: 2500 * ms}}},
@@ -218,7 +218,7 @@
 				m := newDiscoveryRun(t, false, nodes, seed, discoveryFault{})
 				m.advanceUntil(5*time.Second + time.Duration(seed)*237*ms)
 				m.deliverList(ListAddressChanged)
-				worst = max(worst, m.timeToLearnMissedChange(kind.turns))
+				worst = max(worst, m.timeToLearnMissedChange(kind.faults))
 			}
 			if worst > maxAddressChangeDelay+maxLateness {
 				t.Errorf("%d nodes, %s: the node knows a change %v after the reload", nodes, kind.name, worst)
--- a/policy/lifecycle_judge_test.go
+++ b/policy/lifecycle_checker_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// sourceStartRule tells from when on a checker counts a source as the current one. The interface reports the
+// sourceStartRule determines from when on a checker counts a source as the current one. The interface reports the
 // change of the address; a node knows what a source has from its first answer on. What may be sent is checked
 // by the earlier time and what has to be sent by the later one, so that both are allowed in between. The same
 // goes for whether a source starts anew that a new configuration names again, without any other one in between.
@@ -33,10 +33,11 @@
 	inServiceWithoutWork
 )
 
+// violationNames describes each kind of violation in test output.
 var violationNames = [...]string{
 	noViolation: "no violation", sentUnconfirmed: "sent before the list is confirmed",
 	sentToUnlisted: "sent though it is not listed", sentToFormerIncarnation: "sent though it has restarted",
-	sentToOutOfService: "sent though it was told to be out of service", notCancelledOutOfService: "not cancelled though it was told to be out of service",
+	sentToOutOfService: "sent though it was reported out of service", notCancelledOutOfService: "not cancelled though it was reported out of service",
 	cancelledInService: "cancelled though it is in service", inServiceWithoutWork: "in service and gets no work",
 }
 
@@ -65,21 +66,21 @@
 type outOfServiceNotice struct {
 	startedAt   time.Duration
 	origin      Origin
-	heardAt     time.Duration
+	receivedAt  time.Duration
 	partial     bool // the answer was partial, or of an earlier version
 	listedAgain bool // a whole answer has listed the server in service since
 }
 
 // latestEntry is the last entry about a server that counts, from a whole answer.
 type latestEntry struct {
-	known     bool
-	startedAt time.Duration
-	inService bool // false also where a whole list does not name the server
-	origin    Origin
-	heardAt   time.Duration
+	known      bool
+	startedAt  time.Duration
+	inService  bool // false also where a whole list does not name the server
+	origin     Origin
+	receivedAt time.Duration
 }
 
-// serverRecord is all that a process was told about a server and that still counts.
+// serverRecord is all that a process has received about a server and that still counts.
 type serverRecord struct {
 	latest  latestEntry
 	notices []outOfServiceNotice
@@ -100,6 +101,7 @@
 	records          map[ServerID]*serverRecord
 }
 
+// newLifecycleChecker returns a checker of a process that starts now.
 func newLifecycleChecker(now time.Duration, onRequest bool, sourceStart sourceStartRule) *lifecycleChecker {
 	return &lifecycleChecker{
 		sourceStart: sourceStart, onRequest: onRequest, processStartedAt: now, addressChangedAt: now, sourceSince: now,
@@ -118,40 +120,40 @@
 }
 
 // apply takes in a list update.
-func (c *lifecycleChecker) apply(now time.Duration, event listUpdate) {
-	switch event.kind {
+func (c *lifecycleChecker) apply(now time.Duration, update listUpdate) {
+	switch update.kind {
 	case ListAddressChanged:
 		c.addressChanged, c.addressChangedAt = true, now
 	case ListPartial, ListOutdated:
-		c.applyPartial(now, event)
+		c.applyPartial(now, update)
 	case ListCached, ListChanges, ListWhole:
-		c.applyWhole(now, event)
+		c.applyWhole(now, update)
 		c.expireNotices(now)
 	}
 }
 
 // applyPartial takes in an update of which only what is out of service counts. An entry of a former incarnation
 // may count against the current one where it could in a whole answer: such a server need not get work, but may.
-func (c *lifecycleChecker) applyPartial(now time.Duration, event listUpdate) {
-	for _, e := range event.entries {
+func (c *lifecycleChecker) applyPartial(now time.Duration, update listUpdate) {
+	for _, e := range update.entries {
 		if e.State == StateInService {
 			continue
 		}
-		r, started := c.record(e.Server), e.StartedAt
-		later := event.origin.Source == r.latest.origin.Source && event.origin.Version > r.latest.origin.Version
-		if c.sourceStart == startsAtFirstAnswer && (later || now >= r.latest.heardAt+maxReplicaLag) {
-			started = max(started, r.latest.startedAt)
+		r, startedAt := c.record(e.Server), e.StartedAt
+		isLater := update.origin.Source == r.latest.origin.Source && update.origin.Version > r.latest.origin.Version
+		if c.sourceStart == startsAtFirstAnswer && (isLater || now >= r.latest.receivedAt+maxReplicaLag) {
+			startedAt = max(startedAt, r.latest.startedAt)
 		}
-		r.recordOutOfService(now, event.origin, started, true)
+		r.recordOutOfService(now, update.origin, startedAt, true)
 	}
-	if event.kind == ListOutdated {
-		c.recordUnnamedOutOfService(now, event, true)
+	if update.kind == ListOutdated {
+		c.recordUnnamedOutOfService(now, update, true)
 	}
 }
 
 // applyWhole takes in an answer that counts as a whole.
-func (c *lifecycleChecker) applyWhole(now time.Duration, event listUpdate) {
-	origin := event.origin
+func (c *lifecycleChecker) applyWhole(now time.Duration, update listUpdate) {
+	origin := update.origin
 	isAnother := origin.Source != c.latestOrigin.Source
 	switch {
 	case isAnother && c.sourceStart == startsAtAddressChange:
@@ -160,46 +162,46 @@
 		c.sourceSince = now
 	}
 	c.latestOrigin, c.addressChanged = origin, false
-	if event.kind != ListCached {
+	if update.kind != ListCached {
 		c.confirmed = true
 	}
-	for _, e := range event.entries {
+	for _, e := range update.entries {
 		c.applyEntry(now, origin, e)
 	}
-	if event.kind != ListChanges {
-		c.recordUnnamedOutOfService(now, event, false)
+	if update.kind != ListChanges {
+		c.recordUnnamedOutOfService(now, update, false)
 		return
 	}
 	for server, r := range c.records {
-		if !event.names(server) {
+		if !update.names(server) {
 			r.undoPartialNotices(now, origin, c.sourceSince)
 		}
 	}
 }
 
 // names reports whether an update has an entry of a server.
-func (e *listUpdate) names(server ServerID) bool {
-	return slices.ContainsFunc(e.entries, func(line Entry) bool { return line.Server == server })
+func (u *listUpdate) names(server ServerID) bool {
+	return slices.ContainsFunc(u.entries, func(entry Entry) bool { return entry.Server == server })
 }
 
 // recordUnnamedOutOfService records that the servers are out of service that a whole list does not name.
-func (c *lifecycleChecker) recordUnnamedOutOfService(now time.Duration, event listUpdate, partial bool) {
+func (c *lifecycleChecker) recordUnnamedOutOfService(now time.Duration, update listUpdate, partial bool) {
 	for server, r := range c.records {
-		if event.names(server) {
+		if update.names(server) {
 			continue
 		}
 		if !partial {
-			r.latest.inService, r.latest.origin, r.latest.heardAt = false, event.origin, now
+			r.latest.inService, r.latest.origin, r.latest.receivedAt = false, update.origin, now
 		}
-		r.recordOutOfService(now, event.origin, r.latestStart(), partial)
+		r.recordOutOfService(now, update.origin, r.latestStart(), partial)
 	}
 }
 
-// latestStart returns the latest start of a server that any entry has told.
+// latestStart returns the latest start of a server that any entry has given.
 func (r *serverRecord) latestStart() time.Duration {
 	latest := r.latest.startedAt
-	for _, o := range r.notices {
-		latest = max(latest, o.startedAt)
+	for _, n := range r.notices {
+		latest = max(latest, n.startedAt)
 	}
 	return latest
 }
@@ -208,13 +210,13 @@
 // nothing, unless it is a later statement of the same source, or all sources must have caught up.
 func (c *lifecycleChecker) applyEntry(now time.Duration, origin Origin, e Entry) {
 	r := c.record(e.Server)
-	if former := r.latest.known && e.StartedAt < r.latest.startedAt; former {
-		later := origin.Source == r.latest.origin.Source && origin.Version > r.latest.origin.Version
-		if !later && now < max(r.latest.heardAt, c.sourceSince)+maxReplicaLag {
+	if isFormer := r.latest.known && e.StartedAt < r.latest.startedAt; isFormer {
+		isLater := origin.Source == r.latest.origin.Source && origin.Version > r.latest.origin.Version
+		if !isLater && now < max(r.latest.receivedAt, c.sourceSince)+maxReplicaLag {
 			return
 		}
 	}
-	r.latest = latestEntry{known: true, startedAt: e.StartedAt, inService: e.State == StateInService, origin: origin, heardAt: now}
+	r.latest = latestEntry{known: true, startedAt: e.StartedAt, inService: e.State == StateInService, origin: origin, receivedAt: now}
 	if e.State != StateInService {
 		r.recordOutOfService(now, origin, e.StartedAt, false)
 		return
@@ -225,11 +227,11 @@
 // recordOutOfService records that an incarnation takes no new work. If the same notice comes again, it counts
 // from then on.
 func (r *serverRecord) recordOutOfService(now time.Duration, origin Origin, startedAt time.Duration, partial bool) {
-	same := func(o outOfServiceNotice) bool {
-		return o.startedAt == startedAt && o.origin.Source == origin.Source && o.partial == partial
+	isSame := func(n outOfServiceNotice) bool {
+		return n.startedAt == startedAt && n.origin.Source == origin.Source && n.partial == partial
 	}
-	next := outOfServiceNotice{startedAt: startedAt, origin: origin, heardAt: now, partial: partial}
-	if i := slices.IndexFunc(r.notices, same); i >= 0 {
+	next := outOfServiceNotice{startedAt: startedAt, origin: origin, receivedAt: now, partial: partial}
+	if i := slices.IndexFunc(r.notices, isSame); i >= 0 {
 		next.origin.Version = max(next.origin.Version, r.notices[i].origin.Version)
 		r.notices = slices.Delete(r.notices, i, i+1)
 	}
@@ -240,22 +242,22 @@
 // former incarnations.
 func (r *serverRecord) relist(origin Origin, startedAt time.Duration) {
 	kept := r.notices[:0]
-	for _, o := range r.notices {
-		if o.startedAt < startedAt || o.undoneBy(origin) {
+	for _, n := range r.notices {
+		if n.startedAt < startedAt || n.undoneBy(origin) {
 			continue
 		}
-		o.listedAgain = true
-		kept = append(kept, o)
+		n.listedAgain = true
+		kept = append(kept, n)
 	}
 	r.notices = kept
 }
 
 // undoneBy reports whether a later statement of the same source undoes a notice.
-func (o *outOfServiceNotice) undoneBy(origin Origin) bool {
-	if origin.Source != o.origin.Source {
+func (n *outOfServiceNotice) undoneBy(origin Origin) bool {
+	if origin.Source != n.origin.Source {
 		return false
 	}
-	return origin.Version > o.origin.Version
+	return origin.Version > n.origin.Version
 }
 
 // undoPartialNotices removes notices by partial answers after changes that do not name the server: those of the
@@ -265,9 +267,9 @@
 	if !r.latest.inService {
 		return
 	}
-	r.notices = slices.DeleteFunc(r.notices, func(o outOfServiceNotice) bool {
-		caughtUp := now >= max(o.heardAt, sourceSince)+maxReplicaLag
-		return o.partial && (o.undoneBy(origin) || caughtUp)
+	r.notices = slices.DeleteFunc(r.notices, func(n outOfServiceNotice) bool {
+		caughtUp := now >= max(n.receivedAt, sourceSince)+maxReplicaLag
+		return n.partial && (n.undoneBy(origin) || caughtUp)
 	})
 }
 
@@ -278,8 +280,8 @@
 		if !r.latest.inService {
 			continue
 		}
-		r.notices = slices.DeleteFunc(r.notices, func(o outOfServiceNotice) bool {
-			return o.listedAgain && now >= max(o.heardAt, c.sourceSince)+maxReplicaLag
+		r.notices = slices.DeleteFunc(r.notices, func(n outOfServiceNotice) bool {
+			return n.listedAgain && now >= max(n.receivedAt, c.sourceSince)+maxReplicaLag
 		})
 	}
 }
@@ -289,13 +291,13 @@
 	return c.confirmed || c.onRequest && now >= c.processStartedAt+maxConfirmationWait
 }
 
-// isOutOfService reports whether an incarnation of a server was told to take no new work.
+// isOutOfService reports whether an incarnation of a server was reported to take no new work.
 func (c *lifecycleChecker) isOutOfService(server ServerID, startedAt time.Duration) bool {
 	r := c.record(server)
 	if r.latest.known && !r.latest.inService && r.latest.startedAt >= startedAt {
 		return true
 	}
-	return slices.ContainsFunc(r.notices, func(o outOfServiceNotice) bool { return o.startedAt >= startedAt })
+	return slices.ContainsFunc(r.notices, func(n outOfServiceNotice) bool { return n.startedAt >= startedAt })
 }
 
 // mustGetWork reports whether a server has to get work, and which incarnation of it.
@@ -339,8 +341,8 @@
 }
 
 // drainingEntry returns the entry of a server that drains.
-func drainingEntry(server ServerID, started time.Duration) Entry {
-	return Entry{Server: server, State: StateDraining, StartedAt: started}
+func drainingEntry(server ServerID, startedAt time.Duration) Entry {
+	return Entry{Server: server, State: StateDraining, StartedAt: startedAt}
 }
 
 // Guards against a checker that misses a violation, with which the model would prove nothing.
@@ -349,9 +351,9 @@
 	later := inService
 	later.StartedAt = time.Hour
 	for name, c := range map[string]struct {
-		events []listUpdate
-		at     time.Duration
-		want   violationKind
+		updates []listUpdate
+		at      time.Duration
+		want    violationKind
 	}{
 		"drained by changes":        {[]listUpdate{{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, 0)}}}, 0, sentToOutOfService},
 		"removed by changes":        {[]listUpdate{{Origin{1, 2}, ListChanges, []Entry{{Server: 1, State: StateGone}}}}, 0, sentToOutOfService},
@@ -376,13 +378,13 @@
 			{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, time.Hour)}}, {Origin{2, 9}, ListWhole, inServiceEntries(1, 2)}}, 0, sentToFormerIncarnation},
 	} {
 		checker := newConfirmedChecker()
-		for _, event := range c.events {
-			checker.apply(0, event)
+		for _, update := range c.updates {
+			checker.apply(0, update)
 		}
 		if got := checker.checkSend(c.at, 1, 0); got != c.want {
 			t.Errorf("%s: send: %v, want: %v", name, got, c.want)
 		}
-		if started, required := checker.mustGetWork(c.at, 1); required && started == 0 {
+		if startedAt, required := checker.mustGetWork(c.at, 1); required && startedAt == 0 {
 			t.Errorf("%s: the checker requires work for the server", name)
 		}
 		if got := checker.checkSend(0, 2, 0); got != noViolation {
@@ -395,14 +397,14 @@
 func TestLifecycleCheckerRequiresWorkForReturnedServers(t *testing.T) {
 	later := inServiceEntries(1, 1)[0]
 	later.StartedAt = time.Hour
-	told := listUpdate{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, 0)}}
+	drained := listUpdate{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, 0)}}
 	for name, c := range map[string]struct {
-		events  []listUpdate
-		started time.Duration
+		updates   []listUpdate
+		startedAt time.Duration
 	}{
-		"a later version": {[]listUpdate{told, {Origin{1, 3}, ListChanges, inServiceEntries(1, 1)}}, 0},
+		"a later version": {[]listUpdate{drained, {Origin{1, 3}, ListChanges, inServiceEntries(1, 1)}}, 0},
 		"a later start, whoever tells it": {[]listUpdate{
-			told, {Origin{2, 1}, ListAddressChanged, nil}, {Origin{2, 1}, ListWhole, []Entry{later, inServiceEntries(2, 2)[0]}}}, time.Hour},
+			drained, {Origin{2, 1}, ListAddressChanged, nil}, {Origin{2, 1}, ListWhole, []Entry{later, inServiceEntries(2, 2)[0]}}}, time.Hour},
 		"a cut answer that a whole one corrects": {[]listUpdate{
 			{Origin{1, 2}, ListPartial, []Entry{drainingEntry(1, 0)}}, {Origin{1, 3}, ListWhole, inServiceEntries(1, 2)}}, 0},
 		"a cut answer, and changes that do not name it": {[]listUpdate{
@@ -411,14 +413,14 @@
 			{Origin{1, 4}, ListWhole, inServiceEntries(1, 2)}, {Origin{1, 3}, ListOutdated, inServiceEntries(2, 2)}, {Origin{1, 4}, ListChanges, nil}}, 0},
 	} {
 		checker := newConfirmedChecker()
-		for _, event := range c.events {
-			checker.apply(0, event)
+		for _, update := range c.updates {
+			checker.apply(0, update)
 		}
-		if got := checker.checkSend(0, 1, c.started); got != noViolation {
+		if got := checker.checkSend(0, 1, c.startedAt); got != noViolation {
 			t.Errorf("%s: send to the server: %v", name, got)
 		}
-		if started, required := checker.mustGetWork(0, 1); !required || started != c.started {
-			t.Errorf("%s: work is required for start %v: %t", name, started, required)
+		if startedAt, required := checker.mustGetWork(0, 1); !required || startedAt != c.startedAt {
+			t.Errorf("%s: work is required for start %v: %t", name, startedAt, required)
 		}
 	}
 }
--- a/policy/lifecycle_model_test.go
+++ b/policy/lifecycle_model_test.go
@@ -34,6 +34,7 @@
 	kind   serverChangeKind
 }
 
+// serverChangeKind is a kind of serverChange.
 type serverChangeKind uint8
 
 const (
@@ -82,6 +83,7 @@
 	firstVersion int64 // version of position 0
 }
 
+// version returns the version of a position.
 func (r replica) version(position int) int64 { return r.firstVersion + int64(position) }
 
 // stepKind is a kind of event that may happen to a node.
@@ -158,6 +160,8 @@
 	hasFormerSource bool // the other source was followed before
 }
 
+// newLifecycleModel returns a model whose node has started and, unless the scenario says otherwise, has had its
+// first answer.
 func newLifecycleModel(s scenario, mutation mutation) *lifecycleModel {
 	m := &lifecycleModel{
 		scenario: s, run: newLifecycleRun(s.onRequest, mutation),
@@ -223,6 +227,7 @@
 	return Origin{Source: SourceID(m.followed + 1), Version: m.sources[m.followed].version(position)}
 }
 
+// deliver delivers an update of the current source.
 func (m *lifecycleModel) deliver(kind ListKind, position int, entries []Entry) {
 	m.run.deliver(listUpdate{origin: m.origin(position), kind: kind, entries: entries})
 }
@@ -354,7 +359,7 @@
 type exploration struct {
 	scenario
 	newMutation    func() mutation // returns a new mutation for each path
-	isEnough       func(broken []violatingPath) bool
+	isEnough       func(violating []violatingPath) bool
 	withoutMerging bool // also continues paths that lead to equal states
 
 	paths     int // number of paths explored, each with requests after each step
--- a/policy/lifecycle_mutation_test.go
+++ b/policy/lifecycle_mutation_test.go
@@ -7,11 +7,11 @@
 )
 
 // changeEachUpdate returns a mutation that applies a change to each update.
-func changeEachUpdate(change func(event *listUpdate)) mutation {
-	return mutation{changeUpdate: func(event listUpdate) listUpdate {
-		event.entries = slices.Clone(event.entries)
-		change(&event)
-		return event
+func changeEachUpdate(change func(update *listUpdate)) mutation {
+	return mutation{changeUpdate: func(update listUpdate) listUpdate {
+		update.entries = slices.Clone(update.entries)
+		change(&update)
+		return update
 	}}
 }
 
@@ -19,11 +19,11 @@
 // were tombstones.
 func latestUpdateWins() mutation {
 	version := int64(0)
-	return changeEachUpdate(func(event *listUpdate) {
+	return changeEachUpdate(func(update *listUpdate) {
 		version++
-		event.origin = Origin{Source: 1, Version: version}
-		if event.kind == ListOutdated {
-			event.kind = ListWhole
+		update.origin = Origin{Source: 1, Version: version}
+		if update.kind == ListOutdated {
+			update.kind = ListWhole
 		}
 	})
 }
@@ -39,75 +39,75 @@
 	{"the latest update wins", "two sources", latestUpdateWins, sentToOutOfService},
 	{"the latest update wins, also about a former start", "two sources", latestUpdateWins, sentToFormerIncarnation},
 	{"all sources are one", "two sources", func() mutation {
-		return changeEachUpdate(func(event *listUpdate) { event.origin.Source = 1 })
+		return changeEachUpdate(func(update *listUpdate) { update.origin.Source = 1 })
 	}, sentToOutOfService},
 	{"starts are not told apart", "two sources", func() mutation {
-		return changeEachUpdate(func(event *listUpdate) {
-			for i := range event.entries {
-				event.entries[i].StartedAt = 0
+		return changeEachUpdate(func(update *listUpdate) {
+			for i := range update.entries {
+				update.entries[i].StartedAt = 0
 			}
 		})
 	}, sentToFormerIncarnation},
 	{"entries of partial answers are dropped", "two sources, partial answers", func() mutation {
-		return changeEachUpdate(func(event *listUpdate) {
-			if event.kind == ListPartial {
-				event.entries = nil
+		return changeEachUpdate(func(update *listUpdate) {
+			if update.kind == ListPartial {
+				update.entries = nil
 			}
 		})
 	}, notCancelledOutOfService},
 	{"what an earlier list does not name stays", "one source", func() mutation {
-		return changeEachUpdate(func(event *listUpdate) {
-			if event.kind == ListOutdated {
-				event.kind = ListPartial
+		return changeEachUpdate(func(update *listUpdate) {
+			if update.kind == ListOutdated {
+				update.kind = ListPartial
 			}
 		})
 	}, sentToOutOfService},
 	{"what a whole list does not name stays", "one source", func() mutation {
-		return changeEachUpdate(func(event *listUpdate) {
-			if event.kind == ListWhole {
-				event.kind = ListChanges
+		return changeEachUpdate(func(update *listUpdate) {
+			if update.kind == ListWhole {
+				update.kind = ListChanges
 			}
 		})
 	}, sentToOutOfService},
 	{"each answer comes from a source of its own", "one source", func() mutation {
 		source := SourceID(0)
-		return changeEachUpdate(func(event *listUpdate) {
+		return changeEachUpdate(func(update *listUpdate) {
 			source++
-			event.origin.Source = source
+			update.origin.Source = source
 		})
 	}, inServiceWithoutWork},
 	{"changes count as partial answers", "one source", func() mutation {
-		return changeEachUpdate(func(event *listUpdate) {
-			if event.kind == ListChanges {
-				event.kind = ListPartial
+		return changeEachUpdate(func(update *listUpdate) {
+			if update.kind == ListChanges {
+				update.kind = ListPartial
 			}
 		})
 	}, inServiceWithoutWork},
 	{"servers that start are left out", "two sources", func() mutation {
-		return changeEachUpdate(func(event *listUpdate) {
-			event.entries = slices.DeleteFunc(event.entries, func(e Entry) bool { return e.StartedAt > 0 })
+		return changeEachUpdate(func(update *listUpdate) {
+			update.entries = slices.DeleteFunc(update.entries, func(e Entry) bool { return e.StartedAt > 0 })
 		})
 	}, inServiceWithoutWork},
 	{"each entry of a partial answer counts as out of service", "one source", func() mutation {
-		return changeEachUpdate(func(event *listUpdate) {
-			for i := range event.entries {
-				if event.kind == ListPartial {
-					event.entries[i].State = StateDraining
+		return changeEachUpdate(func(update *listUpdate) {
+			for i := range update.entries {
+				if update.kind == ListPartial {
+					update.entries[i].State = StateDraining
 				}
 			}
 		})
 	}, cancelledInService},
 	{"a cached list counts as confirmed", "restarts, pushed", func() mutation {
-		return changeEachUpdate(func(event *listUpdate) {
-			if event.kind == ListCached {
-				event.kind = ListWhole
+		return changeEachUpdate(func(update *listUpdate) {
+			if update.kind == ListCached {
+				update.kind = ListWhole
 			}
 		})
 	}, sentUnconfirmed},
 	{"a cached list counts as confirmed", "restarts, on request", func() mutation {
-		return changeEachUpdate(func(event *listUpdate) {
-			if event.kind == ListCached {
-				event.kind = ListWhole
+		return changeEachUpdate(func(update *listUpdate) {
+			if update.kind == ListCached {
+				update.kind = ListWhole
 			}
 		})
 	}, sentUnconfirmed},
@@ -124,8 +124,8 @@
 // Guards against a model that finds no violations, which would prove nothing.
 func TestLifecycleModelFindsMutations(t *testing.T) {
 	for _, c := range lifecycleMutations {
-		finds := func(broken []violatingPath) bool {
-			return len(broken) > 0 && broken[len(broken)-1].violates(c.want)
+		finds := func(violating []violatingPath) bool {
+			return len(violating) > 0 && violating[len(violating)-1].violates(c.want)
 		}
 		e := exploration{scenario: scenarioNamed(c.scenario), newMutation: c.mutation, isEnough: finds}
 		e.explore()
@@ -141,17 +141,17 @@
 // same ones have to be found.
 func TestLifecycleModelFindsTheSameWithoutMerging(t *testing.T) {
 	const depth = 3
-	all := func([]violatingPath) bool { return false }
+	never := func([]violatingPath) bool { return false }
 	for _, name := range []string{"two sources", "two servers", "restarts, on request"} {
 		s := scenarioNamed(name)
 		s.maxDepth = depth
-		merged := exploration{scenario: s, newMutation: latestUpdateWins, isEnough: all}
-		apart := exploration{scenario: s, newMutation: latestUpdateWins, isEnough: all, withoutMerging: true}
+		merged := exploration{scenario: s, newMutation: latestUpdateWins, isEnough: never}
+		unmerged := exploration{scenario: s, newMutation: latestUpdateWins, isEnough: never, withoutMerging: true}
 		merged.explore()
-		apart.explore()
-		want, got := distinctViolations(apart.violating), distinctViolations(merged.violating)
+		unmerged.explore()
+		want, got := distinctViolations(unmerged.violating), distinctViolations(merged.violating)
 		if len(want) == 0 || !maps.Equal(got, want) {
-			t.Errorf("%s: %d violations in %d merged paths, %d in %d paths", s.name, len(got), merged.paths, len(want), apart.paths)
+			t.Errorf("%s: %d violations in %d merged paths, %d in %d paths", s.name, len(got), merged.paths, len(want), unmerged.paths)
 		}
 	}
 }
--- a/policy/lifecycle_run_test.go
+++ b/policy/lifecycle_run_test.go
@@ -39,8 +39,8 @@
 // Send implements Host.
 func (h *lifecycleHost) Send(id RequestID, server ServerID, _ time.Duration) {
 	a := &lifecycleAttempt{request: id, server: server}
-	for _, before := range h.attempts {
-		if before.request == id {
+	for _, earlier := range h.attempts {
+		if earlier.request == id {
 			a.index++
 		}
 	}
@@ -92,8 +92,8 @@
 
 // mutation stands for a fault of the code, to show that the model finds it.
 type mutation struct {
-	changeUpdate        func(event listUpdate) listUpdate // changes an update on its way to the Balancer; may be nil
-	ignoresCancelUnsent bool                              // the host does not carry out CancelUnsent
+	changeUpdate        func(update listUpdate) listUpdate // changes an update on its way to the Balancer; may be nil
+	ignoresCancelUnsent bool                               // the host does not carry out CancelUnsent
 }
 
 // lifecycleRun runs the process of a node, and its successors, with updates of a list. It sends requests after
@@ -121,6 +121,7 @@
 	return settings
 }
 
+// newLifecycleRun returns a run with no process yet; restart starts one.
 func newLifecycleRun(onRequest bool, mutation mutation) *lifecycleRun {
 	return &lifecycleRun{settings: lifecycleSettings(onRequest), mutation: mutation, now: lifecycleStartAt}
 }
@@ -140,13 +141,13 @@
 }
 
 // deliver passes an update on and checks what the Balancer does with it.
-func (r *lifecycleRun) deliver(event listUpdate) {
-	r.safety.apply(r.now, event)
-	r.liveness.apply(r.now, event)
+func (r *lifecycleRun) deliver(update listUpdate) {
+	r.safety.apply(r.now, update)
+	r.liveness.apply(r.now, update)
 	if r.mutation.changeUpdate != nil {
-		event = r.mutation.changeUpdate(event)
+		update = r.mutation.changeUpdate(update)
 	}
-	r.balancer.ListUpdatedFrom(r.now, event.origin, event.kind, event.entries)
+	r.balancer.ListUpdatedFrom(r.now, update.origin, update.kind, update.entries)
 	r.checkCancellations()
 	r.endRequests()
 	r.probe()
@@ -214,12 +215,12 @@
 
 // checkSend checks an attempt that begins.
 func (r *lifecycleRun) checkSend(a *lifecycleAttempt) {
-	line, listed := r.balancer.serverList.Get(a.server)
-	if !listed {
+	entry, isListed := r.balancer.serverList.Get(a.server)
+	if !isListed {
 		r.recordViolation(sentToUnlisted, a.server, 0)
 		return
 	}
-	a.startedAt = line.StartedAt
+	a.startedAt = entry.StartedAt
 	if kind := r.safety.checkSend(r.now, a.server, a.startedAt); kind != noViolation {
 		r.recordViolation(kind, a.server, a.startedAt)
 	}
@@ -249,8 +250,8 @@
 	b := r.balancer
 	fmt.Fprint(text, r.now, b.listOrigin, b.sourceFollowedSince, b.readyReported, b.serving)
 	for server := ServerID(1); server <= lifecycleServers; server++ {
-		line, listed := b.serverList.Get(server)
-		fmt.Fprint(text, "|", listed, line.Entry, line.origin, line.heardAt)
+		entry, isListed := b.serverList.Get(server)
+		fmt.Fprint(text, "|", isListed, entry.Entry, entry.origin, entry.receivedAt)
 	}
 	fmt.Fprint(text, "|", b.tombstones)
 	timers := slices.Clone(r.host.timers)
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -11,8 +11,8 @@
 // sourcedEntry is an entry of the list with its origin.
 type sourcedEntry struct {
 	Entry
-	origin  Origin
-	heardAt time.Duration
+	origin     Origin
+	receivedAt time.Duration
 }
 
 // listedServer is an entry of the list as it counts.
@@ -145,7 +145,8 @@
 	applied := make([]sourcedEntry, 0, len(entries))
 	for i, e := range entries {
 		if accepted[i] {
-			applied = append(applied, sourcedEntry{Entry: b.admitEntry(now, origin, e), origin: origin, heardAt: now})
+			applied = append(applied, sourcedEntry{
+				Entry: b.admitEntry(now, origin, e), origin: origin, receivedAt: now})
 		} else if !b.isFormerIncarnation(now, origin, e) {
 			continue // another entry for the server counts
 		} else if entry, isListed := b.serverList.Get(e.Server); isListed {
@@ -174,7 +175,7 @@
 
 // admitAndApply applies one entry of changes. It reports whether the subset lost a server by it.
 func (b *Balancer) admitAndApply(now time.Duration, origin Origin, kind ListKind, e Entry) (lost bool) {
-	return b.applyEntry(now, kind, sourcedEntry{Entry: b.admitEntry(now, origin, e), origin: origin, heardAt: now})
+	return b.applyEntry(now, kind, sourcedEntry{Entry: b.admitEntry(now, origin, e), origin: origin, receivedAt: now})
 }
 
 // applyEntry puts an entry into the server list. It reports whether the subset lost a server by it.
--- a/policy/observer.go
+++ b/policy/observer.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// Observer is told of decisions that no action of the Host shows, for logs. It decides nothing and must not
+// Observer receives decisions that no action of the Host shows, for logs. It decides nothing and must not
 // call back into the Balancer.
 type Observer interface {
 	// CallPlanned reports when discovery is called next, unless an event changes that before, and the list
-	// deadline: from then on the node is expected to know what it has not heard (0: it has had no answer yet).
+	// deadline: from then on the node is expected to know what it has not received (0: it has had no answer
+	// yet).
 	CallPlanned(at, listDeadline time.Duration)
 	// ListOverdue reports that there may be a change that the node is expected to know and does not: since the
-	// given time, what it has heard from discovery is older than the rules allow. It is reported once until the
-	// node has heard something newer.
+	// given time, what it has received from discovery is older than the rules allow. It is reported once until
+	// the node has received something newer.
 	ListOverdue(since time.Duration)
 	// BreakerChanged reports the new state of a server's circuit breaker.
 	BreakerChanged(server ServerID, state BreakerState)
-	// ServerHeld reports that a source lists a server in service that another source, or a later version, has
-	// told to be out of service: it gets no work until the source has caught up.
+	// ServerHeld reports that a source lists a server in service that another source, or a later version,
+	// reported to be out of service: the server gets no work until the source has caught up.
 	ServerHeld(server ServerID, outOrigin, listedOrigin Origin)
 }
 
--- a/policy/tombstone.go
+++ b/policy/tombstone.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Servers that a node was told to be out of service, and the sources that told it.
+// Servers that were reported to be out of service, and the sources that reported it.
 //
 // A list is the statement of one replica of discovery at one version. The next list may come from a replica
-// that lags, from an earlier time or from another service, so it must not undo that a server was told to drain.
+// that lags, from an earlier time or from another service, so it must not undo the drain of a server.
 // Each server that is told to take no new work leaves a tombstone with the origin of that notice. The tombstone
 // is removed by a later start of the server, by a later version of the same source, or once every replica must
 // have caught up.
 
 const (
-	// maxReplicaLag is how far a replica of discovery may lag behind another one. Discovery tells a change
-	// within maxListAge, and a replica that lags by ten times as much is not in service.
+	// maxReplicaLag is how far a replica of discovery may lag behind another one. Discovery reports a
+	// change within maxListAge, and a replica that lags by ten times as much is not in service.
 	maxReplicaLag = 10 * maxListAge
 
 	// tombstoneRetention is how long the tombstone of a server that is not listed is kept. maxTombstones limits
@@ -31,7 +31,7 @@
 // chooses it.
 type SourceID uint64
 
-// Origin tells where a statement about servers comes from: a discovery service and the version of its list.
+// Origin is where a statement about servers comes from: a discovery service and the version of its list.
 type Origin struct {
 	Source  SourceID
 	Version int64
@@ -41,22 +41,22 @@
 const UnknownVersion = math.MaxInt64
 
 // tombstone records that an incarnation of a server, from one start to the next, takes no new work. Each source
-// that has told so has to revoke it.
+// that has reported this has to revoke it.
 type tombstone struct {
-	startedAt time.Duration // start of the incarnation, as the list tells it
+	startedAt time.Duration // start of the incarnation, as given by the list
 	since     time.Duration // time of the first notice
 	notices   []notice
 }
 
 // notice is the last statement of a source that an incarnation takes no new work.
 type notice struct {
-	origin  Origin
-	heardAt time.Duration
-	kind    noticeKind
-	stale   bool // its version was earlier than that of the list that the node had from the same source
+	origin     Origin
+	receivedAt time.Duration
+	kind       noticeKind
+	stale      bool // its version was earlier than that of the list that the node had from the same source
 }
 
-// noticeKind tells what kind of statement took a server out of service.
+// noticeKind is the kind of statement that took a server out of service.
 type noticeKind uint8
 
 const (
@@ -79,13 +79,14 @@
 		!(versioned && n.origin.Version > origin.Version)
 }
 
-// tombstones holds what the node was told of servers out of service.
+// tombstones holds what sources have reported of servers out of service.
 type tombstones struct {
 	byServer     map[ServerID]tombstone
 	held         map[ServerID]sourcedEntry // entries in service whose servers have a tombstone
 	sweepAtCount int                       // number of tombstones at which old ones are dropped
 }
 
+// newTombstones returns an empty set of tombstones.
 func newTombstones() tombstones {
 	return tombstones{
 		byServer: map[ServerID]tombstone{}, held: map[ServerID]sourcedEntry{}, sweepAtCount: minTombstonesToSweep}
@@ -97,10 +98,10 @@
 	return record.since, isOut
 }
 
-// hasCaughtUp reports whether every replica must know by now what a notice tells. The time for that counts from
+// hasCaughtUp reports whether every replica must know by now what a notice reports. The time for that counts from
 // the notice or from the start of the current source, whichever is later.
 func (b *Balancer) hasCaughtUp(now time.Duration, n notice) bool {
-	return now >= max(n.heardAt, b.sourceFollowedSince)+maxReplicaLag
+	return now >= max(n.receivedAt, b.sourceFollowedSince)+maxReplicaLag
 }
 
 // recordOutOfService records that an incarnation of a server takes no new work: the known one, unless the given
@@ -115,7 +116,7 @@
 	if !known || record.startedAt < startedAt {
 		record = tombstone{startedAt: startedAt, since: now}
 	}
-	next := notice{origin: origin, heardAt: now, kind: kind}
+	next := notice{origin: origin, receivedAt: now, kind: kind}
 	next.stale = origin.Source == b.listOrigin.Source && origin.Version < b.listOrigin.Version
 	isSame := func(n notice) bool { return n.origin.Source == origin.Source && n.kind == kind }
 	if i := slices.IndexFunc(record.notices, isSame); i >= 0 {
@@ -184,7 +185,7 @@
 	if b.removeNotices(e.Server, func(n notice) bool { return n.undoneBy(origin) || b.hasCaughtUp(now, n) }) {
 		return e
 	}
-	b.tombstones.held[e.Server] = sourcedEntry{Entry: e, origin: origin, heardAt: now}
+	b.tombstones.held[e.Server] = sourcedEntry{Entry: e, origin: origin, receivedAt: now}
 	b.reportServerHeld(e.Server, b.tombstones.byServer[e.Server].notices[0].origin, origin)
 	e.State = StateDraining
 	return e
@@ -219,7 +220,7 @@
 		return false // an entry without a start time may be about any start
 	}
 	isLater := origin.Source == listed.origin.Source && origin.Version > listed.origin.Version
-	return !isLater && now < max(listed.heardAt, b.sourceFollowedSince)+maxReplicaLag
+	return !isLater && now < max(listed.receivedAt, b.sourceFollowedSince)+maxReplicaLag
 }
 
 // releaseHeld puts held servers into service after changes of the current source since a version. The changes
--- a/policy/tombstone_faults_test.go
+++ b/policy/tombstone_faults_test.go
@@ -14,23 +14,23 @@
 }
 
 // incarnation returns the entry of a server with the given start.
-func incarnation(server ServerID, state ServerState, started time.Duration) Entry {
-	return Entry{Server: server, State: state, Weight: 1, StartedAt: started}
+func incarnation(server ServerID, state ServerState, startedAt time.Duration) Entry {
+	return Entry{Server: server, State: state, Weight: 1, StartedAt: startedAt}
 }
 
 // inService reports whether a server is listed in service.
 func (r *runner) inService(server ServerID) bool {
-	line, listed := r.b.serverList.Get(server)
-	return listed && line.State == StateInService
+	entry, isListed := r.b.serverList.Get(server)
+	return isListed && entry.State == StateInService
 }
 
 // newTwoServerRunner returns a node whose clock is far from 0, with two servers that firstSource lists at
 // version 10. Server 1 has the given start.
-func newTwoServerRunner(t *testing.T, started time.Duration) *runner {
+func newTwoServerRunner(t *testing.T, startedAt time.Duration) *runner {
 	t.Helper()
 	r := newRunner(t, testSettings(), 2)
 	r.now = time.Hour
-	r.deliverListFrom(firstSource, 10, ListWhole, incarnation(1, StateInService, started), incarnation(2, StateInService, 0))
+	r.deliverListFrom(firstSource, 10, ListWhole, incarnation(1, StateInService, startedAt), incarnation(2, StateInService, 0))
 	return r
 }
 
@@ -108,17 +108,17 @@
 // Guards memory against any number of tombstones, whatever discovery says.
 func TestTombstonesAreBounded(t *testing.T) {
 	r := newTwoServerRunner(t, 0)
-	most := 0
+	maxCount := 0
 	entries := make([]Entry, 1<<16)
 	for batch := range 20 {
 		for i := range entries {
 			entries[i] = incarnation(ServerID(1000+batch*len(entries)+i), StateGone, 0)
 		}
 		r.deliverListFrom(firstSource, int64(11+batch), ListChanges, entries...)
-		most = max(most, len(r.b.tombstones.byServer))
+		maxCount = max(maxCount, len(r.b.tombstones.byServer))
 	}
-	if most > maxTombstones {
-		t.Errorf("%d tombstones, want at most %d", most, maxTombstones)
+	if maxCount > maxTombstones {
+		t.Errorf("%d tombstones, want at most %d", maxCount, maxTombstones)
 	}
 }
 
