--- a/policy/admission.go
+++ b/policy/admission.go
@@ -3,23 +3,38 @@
 import "time"
 
 const (
-	loadSignalTarget          = 0.5  // of the stretched aim: the latency that thin nodes steer to
-	loadSignalWindowAnswers   = 16   // answers that it is taken over,
-	loadSignalWindowSeconds   = 2.0  // and seconds: few answers weigh more each,
-	loadSignalMaxWeight       = 4.0  // but no more than so many
-	admittedDecreasePerSecond = 16.0 // fall of the admitted share a second, for each unit of excess
-	admittedIncreasePerSecond = 4.0  // and its growth, for each unit of slack
-	minAdmittedShare          = 0.05 // stays admitted to see a recovery, yet lets choked servers rest
+	// loadSignalTarget is the load signal that admission control aims for: the latency of answers as
+	// a share of class.fullLoadLatencySeconds.
+	loadSignalTarget = 0.5
+
+	// The load signal is a moving average over loadSignalWindowAnswers answers or over
+	// loadSignalWindowSeconds, whichever is shorter: where answers are few, each has more weight, up to
+	// the weight of loadSignalMaxWeight answers.
+	loadSignalWindowAnswers = 16
+	loadSignalWindowSeconds = 2.0
+	loadSignalMaxWeight     = 4.0
+
+	// admittedDecreasePerSecond is the relative decrease of the admitted share per second, for a load
+	// signal of twice its target.
+	admittedDecreasePerSecond = 16.0
+	// admittedIncreasePerSecond is the absolute increase of the admitted share per second, for a load
+	// signal of 0.
+	admittedIncreasePerSecond = 4.0
+	// minAdmittedShare is enough to see when servers recover, and so little that overloaded servers
+	// drain their queues.
+	minAdmittedShare = 0.05
 )
 
-// thin tells that nodes outnumber servers: a fair bound in flight would be below one
-// request a server here, too coarse to steer by, and one stuck attempt would use it up.
+// nodesOutnumberServers reports whether the fleet has more nodes than servers in service. Then a fair limit
+// on requests in flight would be below one per server and node, which is too coarse to control the load, and
+// one stuck attempt would use it up. Such nodes use admission control in place of the concurrency limit.
 func (b *Balancer) nodesOutnumberServers() bool {
 	return b.settings.NodeCount > b.serverList.inServiceCount
 }
 
-// admit is the load shedding of a thin node: it steers the share of its requests that go out so that answers
-// take about half of their aim, and refuses the rest at once. What lies beyond a tenant's share goes first.
+// admit is the admission control of a node in a fleet whose nodes outnumber its servers. It reports whether
+// a new request is admitted; the others are refused at once. It adjusts the admitted share of requests so
+// that the load signal stays near loadSignalTarget, and refuses requests over their tenant's quota first.
 func (b *Balancer) admit(now time.Duration, overQuota bool) bool {
 	b.updateAdmittedShare(now)
 	if b.overQuotaShare -= b.overQuotaShare / 64; overQuota {
@@ -29,8 +44,9 @@
 	return b.rng.Float64()*(1-b.overQuotaShare) < b.admittedShare
 }
 
-// press takes an outcome into the pressure: its latency as a share of the aim, or the whole if it was
-// late, turned away or timed out. More for a time-out kept the share of a node with few answers low.
+// updateLoadSignal adds an outcome to the load signal: its latency as a share of the full-load latency, or 1
+// if it was late, rejected or timed out. A time-out counts no more than that: it would keep the admitted
+// share of a node with few answers low.
 func (b *Balancer) updateLoadSignal(now time.Duration, r *request, outcome Outcome) {
 	ratio := outcome.Latency.Seconds() / r.class.fullLoadLatencySeconds
 	if outcome.Status == Rejected || outcome.Status == Timeout {
@@ -39,11 +55,13 @@
 	b.updateAdmittedShare(now)
 	windowsElapsed := (now - b.loadSignalAt).Seconds() / loadSignalWindowSeconds
 	b.loadSignalAt = now
-	b.loadSignal += (min(ratio, 1) - b.loadSignal) * min(max(windowsElapsed, 1.0/loadSignalWindowAnswers), loadSignalMaxWeight/loadSignalWindowAnswers)
+	b.loadSignal += (min(ratio, 1) - b.loadSignal) *
+		min(max(windowsElapsed, 1.0/loadSignalWindowAnswers), loadSignalMaxWeight/loadSignalWindowAnswers)
 }
 
-// pressureAhead takes the attempts that are out into the pressure: one that has been out for longer than
-// the answers so far tells of a crowd before its own answer does, unless its server is silent.
+// projectedLoadSignal returns the load signal with the attempts in flight included: one that has been in
+// flight for longer than recent answers took shows an overload before its own answer does, unless its server
+// is unresponsive.
 func (b *Balancer) projectedLoadSignal(now time.Duration) float64 {
 	signal := b.loadSignal
 	for _, r := range b.activeRequests {
@@ -55,7 +73,8 @@
 	return signal
 }
 
-// adjust moves the admitted share: down in proportion to itself, up evenly.
+// updateAdmittedShare decreases the admitted share multiplicatively while the load signal is over its target,
+// and increases it additively while the signal is under it.
 func (b *Balancer) updateAdmittedShare(now time.Duration) {
 	seconds := min((now - b.controlUpdatedAt).Seconds(), 0.5)
 	b.controlUpdatedAt = now
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -5,27 +5,40 @@
 	"time"
 )
 
+// A round is one typical latency: the time in which answers show the effect of a new limit.
 const (
-	logLatencyRatioTarget      = 0.3   // log of latency over a lone request's that the bound steers to
-	limitIncreasePerRound      = 0.025 // growth of the bound in a typical latency, while requests wait for it
-	initialGrowthFactor        = 6.0   // times that until servers were crowded for the first time
-	minUnloadedSamples         = 60    // lone latencies before the bound may grow
-	referenceLatencySamples    = 12    // lone latencies of a class before its mean serves as a yardstick
-	limitDecreasePerRound      = 0.1   // its shrinking in a typical latency for each unit of excess
-	knownGoodLimitDecaySeconds = 60.0  // seconds over which a bound that was known to be good is forgotten
+	// logLatencyRatioTarget is the mean natural logarithm of latency over unloaded latency above which
+	// servers count as congested.
+	logLatencyRatioTarget = 0.3
+	// limitIncreasePerRound is the relative increase of the limit while requests wait in the queue.
+	limitIncreasePerRound = 0.025
+	// initialGrowthFactor multiplies limitIncreasePerRound until the first congestion.
+	initialGrowthFactor = 6.0
+	// minUnloadedSamples is the number of unloaded latencies that have to be seen before the limit may grow.
+	minUnloadedSamples = 60
+	// referenceLatencySamples is the number of unloaded latencies of a class after which their mean
+	// becomes the reference latency of the class.
+	referenceLatencySamples = 12
+	// limitDecreasePerRound is the relative decrease of the limit for each unit of the mean log latency
+	// ratio over its target.
+	limitDecreasePerRound = 0.1
+	// knownGoodLimitDecaySeconds is the time constant with which the known-good limit decays during
+	// congestion.
+	knownGoodLimitDecaySeconds = 60.0
 )
 
-// steer moves the node's bound on own requests in flight. What a server can hold before it gets less done is
-// told nowhere, but crowding shows: requests take longer than lone ones do there. The bound starts low, grows
-// while requests wait for it and servers are not crowded, and shrinks when they are; but not much below what
-// was good lately, since a fleet that is slow as a whole looks the same.
+// updateConcurrencyLimit adapts the limit on this node's attempts in flight. Nothing tells how many requests a
+// server can hold before its throughput falls, but congestion shows in latencies that are longer than on the
+// unloaded server. The limit starts low, grows while requests wait for it and servers are not congested, and
+// shrinks when they are; but not much below the recent known-good limit, because a fleet that is slow as a
+// whole has the same latencies as a congested one.
 func (b *Balancer) updateConcurrencyLimit(now time.Duration) {
 	seconds := min((now - b.controlUpdatedAt).Seconds(), 0.1)
-	rounds := seconds / b.typicalLatencySeconds // answers come back once a round; faster steps would swing
+	rounds := seconds / b.typicalLatencySeconds // the effect shows after a round; faster steps would oscillate
 	b.controlUpdatedAt = now
 	excess := b.meanLogLatencyRatio - logLatencyRatioTarget
 	switch {
-	case excess > 0 && !b.sawCongestion: // the start's fast growth went too far
+	case excess > 0 && !b.sawCongestion: // the fast growth at the start has overshot
 		b.sawCongestion, b.concurrencyLimit, b.knownGoodLimit = true, 0.6*b.concurrencyLimit, 0.6*b.concurrencyLimit
 	case excess > 0:
 		minLimit := max(1/float64(b.settings.NodeCount), 0.9*b.knownGoodLimit)
@@ -40,25 +53,29 @@
 	}
 }
 
-// room tells whether a server is below the bound on own requests in flight. A server's own part of
-// a whole decides the rounding, so that a limit of 1.4 is 2 at two servers of five.
+// isBelowLimit reports whether this node may have another attempt in flight at a server. The server's random
+// rounding offset decides whether the limit is rounded up or down, so that a limit of 1.4 is 2 at two servers
+// of five.
 func (b *Balancer) isBelowLimit(s *server, now time.Duration) bool {
-	limit := max(1, math.Floor(b.perSubsetServer(b.concurrencyLimit)+s.roundingOffset)*b.capacityShare(s.processStart, now))
+	limit := max(1,
+		math.Floor(b.perSubsetServer(b.concurrencyLimit)+s.roundingOffset)*b.capacityShare(s.processStart, now))
 	return now >= s.rejectingUntil && (b.nodesOutnumberServers() || float64(len(s.inFlight)+1) <= limit)
 }
 
-// measure takes in how long a served request took, compared to lone ones of its
-// class at its server; false while these are not known.
+// recordLatency adds the latency of a served request, in seconds, to the means, and to the mean log latency
+// ratio as compared with the unloaded latency of its class at its server. It reports whether that unloaded
+// latency is known yet.
 func (b *Balancer) recordLatency(a *attempt, r *request, latency float64) bool {
 	s, c := a.server, r.class
 	b.typicalLatencySeconds += (latency - b.typicalLatencySeconds) / 64
 	if !b.settings.ValueByWork {
-		c.meanWork.Add(latency, 400) // by all answers: lone ones are rare in a busy fleet
+		c.meanWork.Add(latency, 400) // all answers count: unloaded ones are rare in a busy fleet
 	}
 	if a.atUnloadedServer {
 		c.meanUnloadedLatencySeconds.Add(latency/r.relativeWork(), 400)
 		if c.meanUnloadedLatencySeconds.Count == referenceLatencySamples {
-			c.referenceLatencySeconds = c.meanUnloadedLatencySeconds.Value // stays: servers are compared by it from now on
+			// The reference stays fixed, because servers are compared by it from now on.
+			c.referenceLatencySeconds = c.meanUnloadedLatencySeconds.Value
 		}
 	}
 	if c.referenceLatencySeconds == 0 {
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -4,14 +4,15 @@
 
 const (
 	failuresToOpen      = 5                // consecutive failures that open a breaker
-	failureWindow       = 60 * time.Second // and the window that they must fall in
-	initialOpenDuration = 2 * time.Second  // an open breaker turns half-open after this,
-	maxOpenDuration     = 30 * time.Second // doubled with each failed trial up to this
+	failureWindow       = 60 * time.Second // the window that these failures have to fall in
+	initialOpenDuration = 2 * time.Second  // the time after which an open breaker turns half-open
+	maxOpenDuration     = 30 * time.Second // the limit of this time, which doubles with each failed trial
 )
 
 // BreakerState is the state of a server's circuit breaker.
 type BreakerState uint8
 
+// The states of a circuit breaker.
 const (
 	closed BreakerState = iota
 	open
@@ -20,11 +21,12 @@
 
 var breakerStateNames = [...]string{closed: "closed", open: "open", halfOpen: "half-open"}
 
-// String names a state, for logs.
+// String returns the name of the state, for logs.
 func (s BreakerState) String() string { return breakerStateNames[s] }
 
-// failed counts a failure towards opening the breaker. One that may be slowness alone opens it
-// only while fewer than half of the servers are out: when all are slow, that would refuse all.
+// recordFailure counts a failure of an attempt's server and opens its breaker if that is due. A failure that
+// may be mere slowness opens it only if at least half of the subset's breakers stay closed: otherwise, when
+// all servers are slow, every request would be refused.
 func (b *Balancer) recordFailure(now time.Duration, a *attempt, maybeSlow bool) {
 	s := a.server
 	closedCount, _ := b.closedServers(now)
@@ -46,7 +48,8 @@
 	b.reportBreakerChange(s, before)
 }
 
-// succeeded closes the breaker. An answer to an older attempt lets an open one's trial come at once.
+// recordSuccess clears the failures of a server. The answer to its trial closes the breaker; the answer to an
+// attempt from before the breaker opened turns it half-open at once.
 func (s *server) recordSuccess(now time.Duration, a *attempt) {
 	s.failureTimes = s.failureTimes[:0]
 	s.lastAnswerAt = now
@@ -58,7 +61,8 @@
 	}
 }
 
-// judge takes an outcome into the server's health, but none of what a former process was sent.
+// recordOutcome updates what is known of the server's health by the outcome of an attempt. Attempts that were
+// sent to an earlier process of the server count for the load signal alone.
 func (b *Balancer) recordOutcome(now time.Duration, r *request, a *attempt, outcome Outcome) {
 	s := a.server
 	if b.nodesOutnumberServers() && (outcome.Status == OK || outcome.Status == Rejected || outcome.Status == Timeout) {
@@ -85,7 +89,7 @@
 		s.outcomes.Add(now, false, latency)
 		b.recordFailure(now, a, false)
 	case Timeout:
-		// Impatient clients make short time-outs, which say nothing of the server.
+		// Clients that wait only briefly cause time-outs that say nothing about the server.
 		if latency > b.meanLatencyRatio*unresponsiveMultiple {
 			s.outcomes.Add(now, false, latency)
 			if !a.unresponsive {
@@ -95,9 +99,9 @@
 	case Rejected:
 		s.rejectingUntil = now + b.expectedLatency(r)
 	case Cancelled:
-		s.outcomes.Add(now, !a.unresponsive, max(latency, s.latencyRatio)) // it would have taken longer
+		s.outcomes.Add(now, !a.unresponsive, max(latency, s.latencyRatio)) // it would have taken at least as long
 	}
 	if s.trial == a {
-		s.trial = nil // no verdict: the next request is the trial
+		s.trial = nil // the outcome decides nothing: the next request is the trial
 	}
 }
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -3,15 +3,20 @@
 import "time"
 
 const (
-	coldBudgetSafety         = 0.75             // of the multiple that pushes cold servers over; thin: twice
-	maxStartReportDelay      = 10 * time.Second // discovery knows of a start after this at most
-	meanCapacityShareUpdates = 64               // times in the time that servers are cold, the cold share of all is summed up anew
+	// coldBudgetSafety is the share of Rules.OverloadMultiple that cold servers are sent. Where nodes
+	// outnumber servers it may be up to twice as much, see coldBudgetCovers.
+	coldBudgetSafety = 0.75
+	// maxStartReportDelay is the longest time that discovery takes to know of a server's start.
+	maxStartReportDelay = 10 * time.Second
+	// meanCapacityShareUpdates is the number of times that the mean capacity share is computed anew in
+	// the time for which a server is cold.
+	meanCapacityShareUpdates = 64
 )
 
-// upSince dates the start of a server's process by this node's clock. A list tells it by a wall clock,
-// which may have been stepped since this node read its own: a start does not lie ahead, and one that is
-// news lies after the last answer, less the time that discovery may take to learn of it. A process is
-// dated once.
+// estimateProcessStart returns the start of a server's process by this node's clock, or 0 if it is long past. A
+// list gives the start by a wall clock, which may have been stepped since this node read its own. The estimate
+// therefore does not lie in the future, and a start that comes as a change lies after the last answer from
+// discovery, less the time that discovery takes to know of it. The estimate for a process is made once.
 func (b *Balancer) estimateProcessStart(now time.Duration, kind ListKind, entry Entry) time.Duration {
 	if s := b.servers[entry.Server]; s != nil && s.StartedAt == entry.StartedAt {
 		return s.processStart
@@ -29,7 +34,8 @@
 	return min(max(entry.StartedAt, earliest), now)
 }
 
-// coldShare is the share of its capacity that a server has at least.
+// capacityShare returns the share of its warm capacity that a server has at least: it rises linearly from
+// Rules.ColdCapacityShare at the start of its process to 1 after Rules.ColdDuration.
 func (b *Balancer) capacityShare(processStart, now time.Duration) float64 {
 	age := max(0, now-processStart)
 	if processStart <= 0 || age >= b.settings.Rules.ColdDuration {
@@ -39,8 +45,8 @@
 	return from + (1-from)*age.Seconds()/b.settings.Rules.ColdDuration.Seconds()
 }
 
-// meanShare is the share of its capacity that a ready server has, over all that are listed: a node
-// whose subset is colder than the rest must not send it more for that.
+// meanCapacityShare returns the mean capacity share of all servers in service, not of the subset alone: a node
+// whose subset is colder than the fleet must not send more to its servers because of that.
 func (b *Balancer) meanCapacityShare(now time.Duration) float64 {
 	list := &b.serverList
 	if now >= list.latestProcessStart+b.settings.Rules.ColdDuration {
@@ -58,11 +64,12 @@
 	return list.meanCapacityShare
 }
 
-// coldBudget tells whether a cold server can bear this work too. This node cannot see the others, so
-// it keeps to its own part: what a warm server of this size gets from it (the smaller of what warm peers
-// are sent and of an equal split of all that is asked for), scaled by the cold share and the multiple
-// that makes a server fall over. The part is saved up, from a random start, until a request is covered
-// whole: hundreds of nodes that each sent just one at once would push the server over.
+// coldBudgetCovers reports whether a server may be sent a request with this work, in seconds; a warm server
+// always may. A node does not see what others send, so it keeps to its own part of what a cold server can do:
+// the work that a warm server of this weight gets from it (the smaller of what warm servers are sent and of an
+// equal split of the demand), scaled by the capacity share and by the multiple of its capacity that overloads a
+// server. This budget accumulates, from a random start, until it covers a whole request: hundreds of nodes that
+// each sent just one request at once would overload the server.
 func (b *Balancer) coldBudgetCovers(s *server, now time.Duration, work float64) bool {
 	share := b.capacityShare(s.processStart, now)
 	if share >= 1 {
@@ -70,7 +77,8 @@
 	}
 	warmServerWorkPerSecond := b.demand.PerSecond(now) / float64(len(b.subset))
 	if b.nodesOutnumberServers() {
-		warmServerWorkPerSecond = b.demand.PerSecond(now) * b.admittedShare / max(b.meanCapacityShare(now)*float64(len(b.subset)), share, 1e-9)
+		warmServerWorkPerSecond = b.demand.PerSecond(now) * b.admittedShare /
+			max(b.meanCapacityShare(now)*float64(len(b.subset)), share, 1e-9)
 	} else if b.warmServers > 0 {
 		warmServerWorkPerSecond = min(warmServerWorkPerSecond, b.warmWorkPerSecond/float64(b.warmServers))
 	}
@@ -81,7 +89,9 @@
 		s.coldBudgetAt, s.coldBudgetSeconds = now, s.roundingOffset*work
 	}
 	budgetPerSecond := warmServerWorkPerSecond * b.settings.Rules.OverloadMultiple * share * coldBudgetSafety
-	if b.nodesOutnumberServers() { // up to twice where whole requests seldom fit in; the draw by cold share keeps the mean
+	if b.nodesOutnumberServers() {
+		// The budget is up to twice as large where few whole requests fit into the window, so that it does
+		// not go unused; the draw by capacity share keeps the mean.
 		sendsPerWindow := 2.5 * budgetPerSecond * b.settings.Rules.OverloadDuration.Seconds() / work
 		budgetPerSecond *= 1 + 1/(1+sendsPerWindow*sendsPerWindow)
 	}
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -7,34 +7,45 @@
 )
 
 const (
-	minSubsetSize        = 16   // servers that a node works with at least,
-	minNodesPerServer    = 32   // and nodes that work with a server: the uneven loads of nodes even out
-	subsetResizeRatio    = 1.25 // a subset is left as it is while its size is off by less than this
+	// minSubsetSize is the least number of servers in a subset of a large list.
+	minSubsetSize = 16
+	// minNodesPerServer is the least number of nodes of a large fleet that have a server in their subset.
+	// So many nodes even out the differences between their loads.
+	minNodesPerServer = 32
+	// subsetResizeRatio is the factor by which the size of a subset has to be off before it is resized,
+	// and by which a subset is widened in each step.
+	subsetResizeRatio = 1.25
+	// minUsableSubsetShare is the share of its target size that a subset needs in servers with closed
+	// breakers, counted by capacity share; one with less is widened.
 	minUsableSubsetShare = 1.0 / 3
-	maxSubsetWidening    = 4 // times as many nodes a server at most where too much of a subset fails
+	// maxSubsetWidening limits by how many times a subset is widened for failing servers.
+	maxSubsetWidening = 4
 )
 
-// countSends sizes the subset by this node's load once in outcomesFor: each server should be sent
-// enough for its breaker to open by what is remembered of it.
+// resizeSubsetByLoad sizes the subset by this node's load, once in each outcomeWindow: each server should get
+// enough attempts in that time for its breaker to open if they all fail.
 func (b *Balancer) resizeSubsetByLoad(now time.Duration) {
 	elapsed := now - b.resizedAt
 	if elapsed < outcomeWindow {
 		return
 	}
-	targetSize := max(minSubsetSize, float64(b.attemptsSinceResize)/failuresToOpen*outcomeWindow.Seconds()/elapsed.Seconds())
+	targetSize := max(minSubsetSize,
+		float64(b.attemptsSinceResize)/failuresToOpen*outcomeWindow.Seconds()/elapsed.Seconds())
 	b.resizedAt, b.attemptsSinceResize = now, 0
-	if targetSize > subsetResizeRatio*b.targetSubsetSize || 2*targetSize < b.targetSubsetSize || b.nodesPerServer > b.baseNodesPerServer {
+	if targetSize > subsetResizeRatio*b.targetSubsetSize || 2*targetSize < b.targetSubsetSize ||
+		b.nodesPerServer > b.baseNodesPerServer {
 		b.targetSubsetSize = targetSize
 		b.chooseSubset(now)
 	}
 }
 
-// choose selects the servers that this node works with: one that worked with all of a large fleet would
-// meet each too seldom to learn anything of it. They are those that have this node among the first in an
-// order of all nodes that the server's id alone decides, so that each server has as many nodes, a change
-// of the list moves no other server's nodes and a restarted node works with the same. Where a zone that
-// repeats are bound to has no second server among them, or little of them can be used, it takes more; the
-// latter within bounds, so that a fleet whose servers all fail is not met whole by each node.
+// chooseSubset selects the servers that this node sends requests to (deterministic subsetting). A node that used
+// all servers of a large list would send to each too rarely to learn anything about it. Each server orders all
+// nodes by its id alone, or by its cell where repeats are bound to cells, and is in the subsets of the first
+// nodesPerServer of them. So every server is in equally many subsets, a list change moves the nodes of no other
+// server, and a restarted node has the same subset as before. The subset is widened where a zone that repeats
+// are bound to has no second server in it, or where too few of its servers are usable; the latter within
+// bounds, so that in a fleet whose servers all fail no node tries all of them.
 func (b *Balancer) chooseSubset(now time.Duration) {
 	if b.needsSubsetResize() {
 		b.baseNodesPerServer = b.targetNodesPerServer()
@@ -42,7 +53,8 @@
 	b.nodesPerServer = b.baseNodesPerServer
 	for b.fillSubset(); b.nodesPerServer < b.settings.NodeCount; b.fillSubset() {
 		_, capacity := b.closedServers(now)
-		if b.isSubsetComplete() && (b.nodesPerServer >= maxSubsetWidening*b.baseNodesPerServer || capacity >= minUsableSubsetShare*b.targetSubsetSize) {
+		if b.isSubsetComplete() && (b.nodesPerServer >= maxSubsetWidening*b.baseNodesPerServer ||
+			capacity >= minUsableSubsetShare*b.targetSubsetSize) {
 			break
 		}
 		b.nodesPerServer = min(int(math.Ceil(subsetResizeRatio*float64(b.nodesPerServer))), b.settings.NodeCount)
@@ -54,37 +66,43 @@
 	}
 }
 
-// drifted tells that the subset's size is off by much, for its load or the list have changed.
+// needsSubsetResize reports whether the load or the list has changed so much that the size of the subset is off
+// by subsetResizeRatio or more.
 func (b *Balancer) needsSubsetResize() bool {
 	ratio := float64(b.targetNodesPerServer()) / float64(b.baseNodesPerServer)
 	return ratio >= subsetResizeRatio || ratio <= 1/subsetResizeRatio
 }
 
-// feedersWanted gives the nodes that work with each server where each node works with as many as this one.
+// targetNodesPerServer returns the number of nodes that each server would have if the subsets of all nodes were
+// of this node's target size.
 func (b *Balancer) targetNodesPerServer() int {
 	nodes := float64(b.settings.NodeCount)
-	return int(min(math.Ceil(max(nodes*b.targetSubsetSize/max(1, float64(b.serverList.inServiceCount)), minNodesPerServer)), nodes))
+	return int(min(math.Ceil(max(
+		nodes*b.targetSubsetSize/max(1, float64(b.serverList.inServiceCount)), minNodesPerServer)), nodes))
 }
 
-// work makes the ready servers that have this node among their first nodes the subset.
+// fillSubset makes up the subset of the servers in service that have this node among their first nodesPerServer
+// nodes.
 func (b *Balancer) fillSubset() {
 	for _, s := range b.subset {
 		s.inSubset = false
 	}
 	b.subset = slices.Delete(b.subset, 0, len(b.subset))
 	for i := range b.serverList.Entries {
-		if listed := &b.serverList.Entries[i]; listed.State == StateInService && int(listed.position) < b.nodesPerServer {
+		if listed := &b.serverList.Entries[i]; listed.State == StateInService &&
+			int(listed.position) < b.nodesPerServer {
 			b.addToSubset(*listed)
 		}
 	}
 }
 
+// addToSubset adds a listed server to the subset, with empty statistics if the node did not know it.
 func (b *Balancer) addToSubset(listed listedServer) {
 	s := b.servers[listed.Server]
 	if s == nil {
 		s = &server{
-			Entry: listed.Entry, processStart: listed.processStart, roundingOffset: b.rng.Float64(), openDuration: initialOpenDuration,
-			inOwnZone: listed.Zone == b.settings.Zone,
+			Entry: listed.Entry, processStart: listed.processStart, roundingOffset: b.rng.Float64(),
+			openDuration: initialOpenDuration, inOwnZone: listed.Zone == b.settings.Zone,
 		}
 		b.servers[listed.Server] = s
 	}
@@ -92,21 +110,24 @@
 	b.subset = append(b.subset, s)
 }
 
-// complete tells whether the subset is large enough and has a second server in each zone that has
-// one, where repeats are bound to zones. Cells are taken whole.
+// isSubsetComplete reports whether the subset is large enough and, where repeats are bound to zones, has a
+// second server in each zone that has one. Where repeats are bound to cells, a cell's servers are all in the
+// subset or all outside it.
 func (b *Balancer) isSubsetComplete() bool {
 	serversByZone := map[int]int{}
 	for _, s := range b.subset {
 		serversByZone[s.Zone]++
 	}
 	isMissing := func(listed listedServer) bool {
-		return listed.State == StateInService && int(listed.position) >= b.nodesPerServer && serversByZone[listed.Zone] < 2
+		return listed.State == StateInService && int(listed.position) >= b.nodesPerServer &&
+			serversByZone[listed.Zone] < 2
 	}
 	return len(b.subset) >= minSubsetSize/2 &&
 		!(b.hasZoneDedup && slices.ContainsFunc(b.serverList.Entries, isMissing))
 }
 
-// inUse counts the servers of the subset whose breaker is closed, and adds up the shares that they can bear.
+// closedServers returns the number of servers of the subset whose breaker is closed, and the sum of their
+// capacity shares.
 func (b *Balancer) closedServers(now time.Duration) (count int, capacity float64) {
 	for _, s := range b.subset {
 		if s.breaker == closed {
@@ -117,7 +138,8 @@
 	return count, capacity
 }
 
-// perFeeder scales a figure for a server that all nodes work with to one of the subset.
+// perSubsetServer converts a number for one server out of all, if this node used all of them, to the number for
+// one server of its subset.
 func (b *Balancer) perSubsetServer(perServer float64) float64 {
 	return perServer * float64(b.settings.NodeCount) / float64(b.nodesPerServer)
 }
