--- a/policy/thin_test.go
+++ b/policy/admission_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// newThin is a node of a bank that outnumbers its servers.
+// newAdmissionRunner returns a runner for a node of a fleet whose nodes outnumber its servers, so that it uses
+// admission control.
 func newAdmissionRunner(t *testing.T) *runner {
 	settings := testSettings()
 	settings.NodeCount = 100
@@ -13,9 +14,8 @@
 	return newRunner(t, settings, 10)
 }
 
-// Guards servers against the further attempts of a whole fleet: where none is known to be
-// better, the best one was the first in the list, for every node. Seen on zone+mass: three in
-// four of them went to 10 of 179 servers.
+// Guards against a fleet that sends its retries to a few servers: while no server is known to be better than the
+// others, every node took the first in the list for the best. Three in four retries went to 10 of 179 servers.
 func TestRetriesOfAFleetSpreadOverServers(t *testing.T) {
 	const nodes, servers = 100, 20
 	retriesByServer := map[ServerID]int{}
@@ -43,23 +43,23 @@
 		most = max(most, n)
 	}
 	if total < nodes/2 || most > 4*total/servers {
-		t.Errorf("%d further attempts, %d of them to one of %d servers", total, most, servers)
+		t.Errorf("%d retries, %d of them to one of %d servers", total, most, servers)
 	}
 }
 
-// Guards against a node that holds its requests back because one of them is stuck: the
-// fair bound in flight of a thin node is below one request.
+// Guards against a stuck request that keeps a node from sending others: where nodes outnumber servers, the fair
+// limit on requests in flight is below one per server.
 func TestStuckAttemptDoesNotBlockWhereNodesOutnumberServers(t *testing.T) {
 	r := newAdmissionRunner(t)
 	for range 5 {
 		if id := r.sendRequest(0); len(r.serversSentTo(id)) != 1 {
-			t.Fatalf("request %d is held behind others of this node", id)
+			t.Fatalf("request %d waits behind others of this node", id)
 		}
 	}
 }
 
-// Guards against a crowd that thin nodes cannot bound in flight: late answers must lower
-// the share that goes out, and timely ones bring all of it back.
+// Guards against an overload that many nodes cannot prevent by a limit on requests in flight: late answers have to
+// lower the admitted share, and timely ones have to restore all of it.
 func TestAdmissionShedsWhileAnswersAreLateAndRecovers(t *testing.T) {
 	r := newAdmissionRunner(t)
 	countSent := func(latency time.Duration) (n int) {
@@ -77,7 +77,7 @@
 		t.Fatalf("%d of 100 admitted though answers are quick", n)
 	}
 	if n := countSent(time.Second); n > 50 {
-		t.Fatalf("%d of 100 admitted while answers take longer than the aim", n)
+		t.Fatalf("%d of 100 admitted while answers take longer than the latency target", n)
 	}
 	for range 3 { // 15 s
 		countSent(100 * ms)
@@ -87,8 +87,8 @@
 	}
 }
 
-// Guards against the two controls sharing a clock: the bound of a node that sees enough
-// never grew while the thin node's control moved the time of the last step.
+// Guards against a concurrency limit that never grows: admission control updated controlUpdatedAt, which both
+// controls use, also on nodes that use the limit.
 func TestOutcomesDoNotStopTheLimitFromGrowing(t *testing.T) {
 	r := newRunner(t, testSettings(), 2)
 	r.serveRequests(3*minUnloadedSamples, 0, 20*ms)
@@ -96,7 +96,7 @@
 	before := r.b.concurrencyLimit
 	for range 20 {
 		var ids []RequestID
-		for range 12 { // some wait for room
+		for range 12 { // some wait in the queue
 			ids = append(ids, r.sendRequest(0))
 		}
 		r.advance(20 * ms)
@@ -107,12 +107,12 @@
 		}
 	}
 	if r.b.concurrencyLimit <= before {
-		t.Fatalf("bound stays at %.2f though requests wait and servers are not crowded", r.b.concurrencyLimit)
+		t.Fatalf("limit stays at %.2f though requests wait and servers are not congested", r.b.concurrencyLimit)
 	}
 }
 
-// Guards against small servers that are sent as much as large ones by nodes that have too
-// little in flight to see them crowd.
+// Guards against nodes that send as much to small servers as to large ones: where nodes outnumber servers, each has
+// too little in flight to see that the small ones are congested.
 func TestServersAreDrawnByWeightWhereNodesOutnumberThem(t *testing.T) {
 	r := newAdmissionRunner(t)
 	entries := inServiceEntries(1, 10)
@@ -133,12 +133,12 @@
 		r.endAttempt(id, OK, 20*ms)
 	}
 	if large < 270 || large > 330 { // three quarters
-		t.Fatalf("%d of 400 requests went to the servers of three times the weight", large)
+		t.Fatalf("%d of 400 requests went to the servers of three times the weight, want about 300", large)
 	}
 }
 
-// Guards against a breaker that never closes again where no class may be repeated: the
-// trial is then an unsafe request.
+// Guards against a breaker that never closes again where every class is non-idempotent: its trial has to be a
+// non-idempotent request then.
 func TestTrialIsUnsafeWhereEveryClassIs(t *testing.T) {
 	settings := testSettings()
 	settings.Classes = settings.Classes[2:]
@@ -154,11 +154,11 @@
 	}
 	r.endAttempt(trial, OK, 20*ms)
 	if failing.breaker != closed {
-		t.Fatal("the breaker stays open after a good trial")
+		t.Fatal("the breaker does not close after a successful trial")
 	}
 }
 
-// Guards against a storm of retries by many nodes when all servers turn requests away.
+// Guards against a retry storm of many nodes when all servers reject requests.
 func TestRetryBudgetWhereNodesOutnumberServers(t *testing.T) {
 	r := newAdmissionRunner(t)
 	r.serveRequests(20, 0, 20*ms)
@@ -173,11 +173,11 @@
 		}
 	}
 	if n := len(r.host.sends) - before; n > 100+15 {
-		t.Fatalf("%d sends for 100 requests that were turned away, want about a tenth more", n)
+		t.Fatalf("%d sends for 100 requests that were rejected, want about a tenth more", n)
 	}
 }
 
-// Guards against single time-outs that cost a node with few answers most of its share.
+// Guards against single time-outs that take most of its admitted share from a node with few answers.
 func TestOneTimeoutHardlyLowersTheAdmittedShare(t *testing.T) {
 	r := newAdmissionRunner(t)
 	for i := range 60 {
@@ -195,12 +195,12 @@
 		}
 	}
 	if r.b.admittedShare < 0.8 {
-		t.Fatalf("admitted share %.2f with one time-out in 15 answers, the others quick", r.b.admittedShare)
+		t.Fatalf("admitted share %.2f with one time-out in 15 answers and quick answers otherwise, want 0.8 or more", r.b.admittedShare)
 	}
 }
 
-// Guards against warm servers crushed by what cold ones could carry, and the other way:
-// the draw follows what a server can do now.
+// Guards against a draw that ignores which servers are cold, and overloads either the cold or the warm ones: it has
+// to follow the present capacity of each server.
 func TestServersAreDrawnByCapacityShareWhereNodesOutnumberThem(t *testing.T) {
 	r := newAdmissionRunner(t)
 	entries := inServiceEntries(1, 10)
@@ -219,13 +219,13 @@
 			cold++
 		}
 	}
-	if cold < 900 || cold > 1100 { // 1 of 6
-		t.Fatalf("%d of 6000 draws are of the five servers at a fifth of their capacity", cold)
+	if cold < 900 || cold > 1100 { // a sixth of the capacity
+		t.Fatalf("%d of 6000 draws are of the five servers at a fifth of their capacity, want about 1000", cold)
 	}
 }
 
-// Guards against shedding what would be late where late answers still pay, and against
-// letting it through where the site charges for such work as much as it is worth.
+// Guards against refusing requests whose late answers still have value, and against admitting them where the
+// penalties for late answers are as high as that value.
 func TestAdmitsMoreWhereLateAnswersHaveValue(t *testing.T) {
 	admitted := func(prices Penalties) float64 {
 		settings := testSettings()
@@ -237,18 +237,19 @@
 			id := r.sendRequest(0)
 			r.advance(50 * ms)
 			if len(r.serversSentTo(id)) > 0 {
-				r.endAttempt(id, OK, 500*ms) // 0.625 of the aim
+				r.endAttempt(id, OK, 500*ms) // 0.625 of the latency target
 			}
 		}
 		return r.b.admittedShare
 	}
 	if withoutPenalties, withPenalties := admitted(Penalties{}), admitted(Penalties{WastedWork: 0.3, LateFailure: 0.3}); withoutPenalties < 0.99 || withPenalties > 0.5 {
-		t.Fatalf("admitted shares %.2f without prices and %.2f with, want all and less than half", withoutPenalties, withPenalties)
+		t.Fatalf("admitted share %.2f without penalties and %.2f with them, want 0.99 or more and 0.5 or less", withoutPenalties, withPenalties)
 	}
 }
 
-// Guards against keeping choked servers at work: three times slower, a tenth of the usual
-// load leaves them a third busy, and they recover only once they rest.
+// Guards against a minimum of the admitted share that is too high for overloaded servers to recover. They are about
+// three times slower than usual, so that a tenth of the usual load keeps them a third busy, and they recover only
+// once they are nearly idle.
 func TestMinAdmittedShareLetsServersRecover(t *testing.T) {
 	r := newAdmissionRunner(t)
 	for range 2000 {
@@ -259,12 +260,12 @@
 		}
 	}
 	if r.b.admittedShare > 0.06 || r.b.admittedShare <= 0 {
-		t.Fatalf("admitted share %.2f after 40 s of late answers, want about a twentieth", r.b.admittedShare)
+		t.Fatalf("admitted share %.2f after 40 s of late answers, want about 0.05", r.b.admittedShare)
 	}
 }
 
-// Guards against a cold part that is not a number for good: servers may start at nothing,
-// and an empty list leaves no capacity to divide by.
+// Guards against a cold budget that becomes NaN and stays so: servers may start with a capacity share of 0, and after
+// an empty list there is no capacity to divide by.
 func TestColdBudgetIsANumberWithoutCapacity(t *testing.T) {
 	r := newAdmissionRunner(t)
 	r.b.settings.Rules.ColdCapacityShare = 0
@@ -278,7 +279,7 @@
 	r.deliverList(ListWhole, cold...)
 	for _, s := range r.b.subset {
 		if r.b.coldBudgetCovers(s, r.now, 0.02) || s.coldBudgetSeconds != s.coldBudgetSeconds || s.coldBudgetSeconds > 0.02 {
-			t.Fatalf("server %d may be sent work at its very start, saved %v", s.Server, s.coldBudgetSeconds)
+			t.Fatalf("server %d may be sent work at the moment of its start, or its budget is wrong: %v s", s.Server, s.coldBudgetSeconds)
 		}
 	}
 	r.serveRequests(200, 0, 50*ms)
@@ -287,12 +288,12 @@
 		sends += len(s.inFlight) + s.outcomes.Count
 	}
 	if sends == 0 {
-		t.Fatal("nothing is sent to a fleet that started cold")
+		t.Fatal("nothing is sent to a fleet whose servers are all cold")
 	}
 }
 
-// Guards against a share that creeps: a crowd chokes servers within two seconds, and each
-// second of needless refusals after it costs as much as the crowd did.
+// Guards against an admitted share that changes too slowly: an overload slows servers down within two seconds, and
+// each second of needless refusals afterwards costs as much as the overload did.
 func TestAdmittedShareMovesWithinSeconds(t *testing.T) {
 	r := newAdmissionRunner(t)
 	shareAfter := func(duration time.Duration, latency time.Duration) float64 {
@@ -307,10 +308,10 @@
 	}
 	shareAfter(2*time.Second, 100*ms)
 	if share := shareAfter(1500*ms, 700*ms); share > 0.4 {
-		t.Errorf("%.2f admitted after 1.5 s of answers near the end of the aim, want less than 0.4", share)
+		t.Errorf("%.2f admitted after 1.5 s of answers close to the latency target, want 0.4 or less", share)
 	}
 	shareAfter(4*time.Second, 700*ms)
 	if share := shareAfter(3*time.Second, 100*ms); share < 0.6 {
-		t.Errorf("%.2f admitted 3 s after answers are quick again, want most", share)
+		t.Errorf("%.2f admitted 3 s after answers are quick again, want 0.6 or more", share)
 	}
 }
--- a/policy/bound_test.go
+++ b/policy/bound_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// steerFor steers the bound for a while at a steady crowding.
+// updateLimitFor updates the concurrency limit every 10 ms at a constant mean log latency ratio.
 func updateLimitFor(b *Balancer, from, duration time.Duration, logLatencyRatio float64) {
 	for now := from; now < from+duration; now += 10 * ms {
 		b.meanLogLatencyRatio = logLatencyRatio
@@ -13,14 +13,16 @@
 	}
 }
 
+// newLimitRunner returns a runner whose concurrency limit may grow: enough unloaded latencies are known and a request
+// waits in the queue.
 func newLimitRunner(t *testing.T) (*runner, *Balancer) {
 	r := newRunner(t, testSettings(), 4)
 	r.b.unloadedSamples, r.b.typicalLatencySeconds, r.b.controlUpdatedAt = minUnloadedSamples, 0.1, r.now
-	r.b.queue = append(r.b.queue, &request{done: true}) // someone waits
+	r.b.queue = append(r.b.queue, &request{done: true}) // a request waits
 	return r, r.b
 }
 
-// Guards against a bound that grows unused in quiet times and is none when a crowd comes.
+// Guards against a limit that grows at low load, where nothing reaches it, and is far too high when an overload comes.
 func TestLimitGrowsOnlyWhileRequestsWait(t *testing.T) {
 	r, b := newLimitRunner(t)
 	before := b.concurrencyLimit
@@ -28,52 +30,52 @@
 	b.queue = nil
 	updateLimitFor(b, r.now, time.Second, 0)
 	if b.concurrencyLimit != before {
-		t.Fatalf("bound went from %v to %v though nothing waits", before, b.concurrencyLimit)
+		t.Fatalf("limit went from %v to %v though no request waits", before, b.concurrencyLimit)
 	}
 	b.queue = waiting
 	updateLimitFor(b, r.now+time.Second, time.Second, 0)
 	if b.concurrencyLimit <= before {
-		t.Fatal("bound did not grow while requests wait and servers are not crowded")
+		t.Fatal("limit did not grow while requests wait and servers are not congested")
 	}
 }
 
-// Guards against growing before there is anything to tell a crowd by.
+// Guards against a limit that grows before the unloaded latencies are known that congestion is detected by.
 func TestLimitWaitsForUnloadedLatencies(t *testing.T) {
 	r, b := newLimitRunner(t)
 	b.unloadedSamples = minUnloadedSamples - 1
 	before := b.concurrencyLimit
 	updateLimitFor(b, r.now, time.Second, 0)
 	if b.concurrencyLimit != before {
-		t.Fatal("bound grew before lone latencies were known")
+		t.Fatal("limit grew before unloaded latencies were known")
 	}
 }
 
-// Guards against servers that get less done the more they hold, and against a fleet
-// that is slow as a whole starving itself.
+// Guards against a limit that stays too high for servers whose throughput falls with the requests that they hold, and
+// against one that falls so low in a fleet that is slow as a whole that its servers idle.
 func TestLimitShrinksUnderCongestionButNotFarBelowTheKnownGood(t *testing.T) {
 	r, b := newLimitRunner(t)
 	b.sawCongestion, b.concurrencyLimit, b.knownGoodLimit = true, 8, 4
 	updateLimitFor(b, r.now, 5*time.Second, 1)
 	if b.concurrencyLimit >= 8 {
-		t.Fatal("bound did not shrink in a crowd")
+		t.Fatal("limit did not shrink under congestion")
 	}
 	updateLimitFor(b, r.now+5*time.Second, 20*time.Second, 1)
 	if b.concurrencyLimit < 2 || b.concurrencyLimit > 4 {
-		t.Fatalf("bound %v after 25 s of slowness, want it near the known 4", b.concurrencyLimit)
+		t.Fatalf("limit %v after 25 s of slowness, want it near the known-good limit of 4", b.concurrencyLimit)
 	}
 }
 
-// Guards against the overshoot of the start's fast growth, which answers reveal late.
+// Guards against a limit that has overshot in its fast growth at the start, which latencies show with a delay.
 func TestFirstCongestionCutsTheLimitAtOnce(t *testing.T) {
 	r, b := newLimitRunner(t)
 	b.concurrencyLimit = 10
 	updateLimitFor(b, r.now, 10*ms, 1)
 	if b.concurrencyLimit > 7 {
-		t.Fatalf("bound %v after the first sign of a crowd, want well below 10", b.concurrencyLimit)
+		t.Fatalf("limit %v after the first sign of congestion, want 7 or less", b.concurrencyLimit)
 	}
 }
 
-// Guards against one request a server from each of many nodes, which is a crowd.
+// Guards against many nodes that each have one request in flight per server, which together overload it.
 func TestManyNodesSendLessThanOneRequestPerServer(t *testing.T) {
 	settings := testSettings()
 	settings.NodeCount = 10
@@ -82,11 +84,12 @@
 		r.sendRequest(0)
 	}
 	if n := len(r.host.sends); n < 2 || n > 8 {
-		t.Fatalf("%d requests in flight from one of ten nodes at twenty servers", n)
+		t.Fatalf("%d requests in flight from one of ten nodes at twenty servers, want 2 to 8", n)
 	}
 }
 
-// Guards against a yardstick that grows with the crowd: alone among ours is not alone.
+// Guards against a reference latency that grows with the load: a server without requests from this node may still have
+// requests from others.
 func TestUnloadedLatenciesAreLearnedOnlyAtLowLoad(t *testing.T) {
 	settings := testSettings()
 	settings.NodeCount = 7
@@ -100,28 +103,28 @@
 		}
 	}
 	if unloadedCount == 0 || unloadedCount > 4 {
-		t.Fatalf("%d of 7 requests count as lone, want the first few", unloadedCount)
+		t.Fatalf("%d of 7 requests count as sent to an unloaded server, want the first few", unloadedCount)
 	}
 }
 
-// Guards against a class mean that moves on after servers were measured against it.
+// Guards against a reference latency that changes after servers were compared with it.
 func TestReferenceLatencyStaysOnceSettled(t *testing.T) {
 	r := newRunner(t, testSettings(), 4)
 	r.serveRequests(referenceLatencySamples, 0, 50*ms)
 	want := r.b.classes[0].referenceLatencySeconds
 	if want == 0 {
-		t.Fatal("no yardstick after enough lone requests")
+		t.Fatal("no reference latency after enough requests to unloaded servers")
 	}
 	r.serveRequests(50, 0, 150*ms)
 	if got := r.b.classes[0].referenceLatencySeconds; got != want {
-		t.Fatalf("yardstick moved from %v to %v", want, got)
+		t.Fatalf("reference latency changed from %v to %v", want, got)
 	}
 	if r.b.classes[0].meanUnloadedLatencySeconds.Value <= want {
-		t.Fatal("the class's own mean must follow")
+		t.Fatal("the mean unloaded latency of the class does not follow the latencies")
 	}
 }
 
-// Guards against a stop of all sends when servers that hold our attempts vanish.
+// Guards against a node that stops sending because its attempts at servers with open breakers use up the limit.
 func TestAttemptsAtOpenServersDoNotUseUpTheLimit(t *testing.T) {
 	r := newRunner(t, testSettings(), 4)
 	for range 4 {
@@ -138,53 +141,54 @@
 		}
 	}
 	if id := r.sendRequest(0); len(r.serversSentTo(id)) != 1 {
-		t.Fatal("a free server is left idle because open ones hold attempts")
+		t.Fatal("nothing is sent to idle servers, because servers with open breakers hold attempts")
 	}
 }
 
 func TestTiesGoToTheOwnZone(t *testing.T) {
 	near, far := &server{inOwnZone: true}, &server{}
 	if betterServer(far, near) != near || betterServer(near, far) != near {
-		t.Fatal("among equals the own zone must win")
+		t.Fatal("among equal servers, the one in the node's own zone has to be chosen")
 	}
 	near.inFlight = append(near.inFlight, &attempt{})
 	if betterServer(near, far) != far {
-		t.Fatal("fewer in flight must win over the zone")
+		t.Fatal("the server with fewer attempts in flight has to be chosen before the one in the own zone")
 	}
 }
 
 func TestLastServerOfAKeyIsOneOfTheTwoCandidates(t *testing.T) {
 	settings := testSettings()
 	settings.KeyAffinity = true
-	r := newRunner(t, settings, 4) // one zone
+	r := newRunner(t, settings, 4) // all in one zone
 	sendRequest := func() ServerID {
 		r.lastID++
 		r.b.RequestArrived(r.now, Request{ID: r.lastID, Key: 42, TimeLeft: time.Second})
 		s := r.serversSentTo(r.lastID)[0]
 		r.advance(10 * ms)
 		r.endAttempt(r.lastID, OK, 10*ms)
-		r.advance(10 * ms) // scores are brought up to date once an instant
+		r.advance(10 * ms) // scores are updated once per time of the clock
 		return s
 	}
 	first := sendRequest()
 	for range 20 {
 		if s := sendRequest(); s != first {
-			t.Fatalf("key went to %d, though %d is warm and idle", s, first)
+			t.Fatalf("request went to server %d, though server %d served its key last and is idle", s, first)
 		}
 	}
 }
 
-// Guards against ordering held requests by a guess that busy fleets never correct.
+// Guards against ordering the queue by an initial estimate of the work that a busy fleet never corrects, because it
+// sees no unloaded latencies.
 func TestValuePerWorkFollowsAllAnswers(t *testing.T) {
 	r := newRunner(t, testSettings(), 2)
 	heavy := &request{class: &r.b.classes[0]}
 	for range 50 {
-		r.b.recordLatency(&attempt{server: r.b.subset[0]}, heavy, 0.9) // never alone
+		r.b.recordLatency(&attempt{server: r.b.subset[0]}, heavy, 0.9) // at a server that is never unloaded
 	}
-	r.sendRequest(0) // fills a server, as does the next
+	r.sendRequest(0) // brings a server to its limit, as does the next
 	r.sendRequest(0)
 	a, b := r.sendRequest(0), r.sendRequest(1)
 	if x, y := r.b.requests[a], r.b.requests[b]; x == nil || y == nil || !y.precedes(x) {
-		t.Fatal("a class that takes longer for the same worth must come second")
+		t.Fatal("a class that takes longer for the same value has to come second")
 	}
 }
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// coldFleet plays a fleet of nodes on one clock, each asked for its part of load times what the
-// warm servers can do, while some servers come back cold. All answers are alike, so that nothing
-// but the budget holds back. It gives by how many times the room for chance the most loaded cold
-// server was sent more than its budget, and all sends to cold servers as a share of the budgets.
+// simulateColdServers simulates a fleet of nodes on one clock while some servers restart and are cold. The load is a
+// multiple of the capacity of the warm servers, split over the nodes. All answers take the same time, so that only
+// the cold budget limits what is sent to cold servers. It returns the most that one cold server was sent over its
+// budget, as a multiple of the tolerance for chance, and all sends to cold servers as a share of their budgets.
 func simulateColdServers(
 	t *testing.T, nodes, servers, cold int, load float64, duration time.Duration, unevenLoad bool, seed uint64,
 ) (worstExcess, usedShare float64) {
 	t.Helper()
 	const (
-		warmServerRate = 20.0 // requests a second that a warm server bears
+		warmServerRate = 20.0 // capacity of a warm server, requests per second
 		step           = 10 * ms
 		latency        = 100 * ms
 		warmUp         = 3 * time.Second
@@ -24,8 +24,9 @@
 	settings := testSettings()
 	settings.NodeCount = nodes
 	rules := &settings.Rules
-	rules.ColdCapacityShare, rules.ColdDuration, rules.OverloadMultiple, rules.OverloadDuration = 0.12, 24*time.Second, 2.5, 2*time.Second
-	budget := func(age time.Duration) float64 { // requests in FallFor
+	rules.ColdCapacityShare, rules.ColdDuration, rules.OverloadMultiple, rules.OverloadDuration =
+		0.12, 24*time.Second, 2.5, 2*time.Second
+	budget := func(age time.Duration) float64 { // requests in OverloadDuration
 		share := rules.ColdCapacityShare + (1-rules.ColdCapacityShare)*age.Seconds()/rules.ColdDuration.Seconds()
 		return rules.OverloadMultiple * share * warmServerRate * rules.OverloadDuration.Seconds()
 	}
@@ -95,9 +96,9 @@
 	return worstExcess, float64(sent) / budgetSum
 }
 
-// Guards cold servers against the sum of what all nodes send, in fleets of any size: a node that
-// may send several requests in the time that counts needs no more than its part, while one of
-// hundreds, which may send none most of the time, would leave most of its part unused.
+// Guards against cold servers that are overloaded by the sum of what all nodes send, in fleets of any size. A node that
+// may send a cold server several requests within OverloadDuration gets by with its part of the budget. One of
+// hundreds of nodes, which most of the time may send none, would leave most of its part unused.
 func TestColdServersAreNotOverloadedByAllNodesTogether(t *testing.T) {
 	for _, c := range []struct {
 		nodes, servers, cold int
@@ -111,8 +112,8 @@
 		for seed := range uint64(max(1, 48/c.nodes)) {
 			worstExcess, usedShare := simulateColdServers(t, c.nodes, c.servers, c.cold, 1.5, c.duration, c.unevenLoad, seed+1)
 			if worstExcess > 1 || usedShare < 0.1 {
-				t.Errorf("%d nodes, %d of %d servers cold, seed %d: one was sent %.2f times the room for chance "+
-					"over its budget, all of them %.2f of their budgets", c.nodes, c.cold, c.servers, seed+1, worstExcess, usedShare)
+				t.Errorf("%d nodes, %d of %d servers cold, seed %d: one was sent %.2f times the tolerance for chance "+
+					"over its budget, want 1 or less; all of them were sent %.2f of their budgets, want 0.1 or more", c.nodes, c.cold, c.servers, seed+1, worstExcess, usedShare)
 			}
 		}
 	}
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// registry is a model of discovery as one service for all nodes: it works on calls in
-// turn, also on those whose node has given up, and fails what waits too long.
+// sequentialDiscovery is a model of discovery as one service for all nodes. It works on one call after the other, also
+// on those that have timed out meanwhile.
 type sequentialDiscovery struct {
-	callDuration time.Duration // it works so long on a call
-	maxWait      time.Duration // and a call fails that has waited so long
-	freeAt       time.Duration // it is done with all calls so far
+	callDuration time.Duration // work on each call
+	maxWait      time.Duration // time after which a call fails that is not answered
+	freeAt       time.Duration // time when the work on all calls so far is done
 }
 
-// call takes a call and tells when its node hears of it, and what.
+// receive takes a call and returns when it ends for its node, and whether it is answered.
 func (d *sequentialDiscovery) receive(now time.Duration) (endsAt time.Duration, answered bool) {
 	d.freeAt = max(d.freeAt, now) + d.callDuration
 	if d.freeAt-now > d.maxWait {
@@ -24,9 +24,11 @@
 
 var seedOffset uint64
 
-// watchers starts some nodes of a fleet at once and plays them against discovery until every one has
-// its watch; it returns when that was, counted from the start, and the calls made.
-func startFleet(t *testing.T, fleetSize, started int, seed uint64, discovery sequentialDiscovery, timeLimit time.Duration) (took time.Duration, calls int) {
+// startFleet starts some nodes of a fleet at once and runs them against discovery until each has a watch. It returns
+// how long that took, and the number of calls that were made.
+func startFleet(
+	t *testing.T, fleetSize, started int, seed uint64, discovery sequentialDiscovery, timeLimit time.Duration,
+) (took time.Duration, calls int) {
 	t.Helper()
 	settings := testSettings()
 	settings.NodeCount, settings.ListOnRequest = fleetSize, true
@@ -73,19 +75,19 @@
 	return took, calls
 }
 
-// knownCall is what a call from a known version takes discovery, as measured on a day with 300 nodes
-// before 167 servers, and knownWait how long such a call waited there at most.
 const (
+	// changesCallDuration is the time that discovery works on a call for the changes since a version.
 	changesCallDuration = 10400 * time.Microsecond
-	changesCallMaxWait  = time.Second
+	// changesCallMaxWait is the longest time that such a call waits for its answer.
+	changesCallMaxWait = time.Second
 )
 
-// fleetSeeds are where the seeds of nodes begin; each fleet of a test is played with all.
+// fleetSeeds are the seeds of the first node of a fleet; each test runs its fleets with all of them.
 var fleetSeeds = []uint64{0, 1000, 2000, 3000}
 
-// Guards against calls for the list that all nodes make at the same instant: most wait in vain, discovery
-// works on them all the same, and none is heard for tens of seconds. Seven in ten nodes may start together,
-// and nine in ten of those have to be ready within 10 s.
+// Guards against nodes that all call for the list at the same time: most calls time out, discovery works on them all
+// the same, and no node gets an answer for tens of seconds. Seven in ten nodes may start together, and nine in ten of
+// those have to be ready within 10 s.
 func TestNodesThatStartTogetherGetTheList(t *testing.T) {
 	for _, c := range []struct {
 		size, started int
@@ -98,47 +100,53 @@
 		{900, 630, 8 * time.Second},
 	} {
 		for _, seed := range fleetSeeds {
-			took, calls := startFleet(t, c.size, c.started, seed, sequentialDiscovery{callDuration: changesCallDuration, maxWait: changesCallMaxWait}, c.within)
+			took, calls := startFleet(t, c.size, c.started, seed,
+				sequentialDiscovery{callDuration: changesCallDuration, maxWait: changesCallMaxWait}, c.within)
 			if calls > c.started*3/2 {
-				t.Errorf("%d calls until %d of %d nodes had a watch after %v", calls, c.started, c.size, took)
+				t.Errorf("%d calls until %d nodes of a fleet of %d had a watch after %v, want half as many more than nodes at most", calls, c.started, c.size, took)
 			}
 		}
 	}
 }
 
-// The same where a call takes as long as one for the whole list did on an older bench.
+// Guards against the same where each call takes discovery as long as one for a whole list.
 func TestFleetThatStartsAtOnceGetsTheList(t *testing.T) {
 	took, calls := startFleet(t, 80, 80, 0, sequentialDiscovery{callDuration: 95 * ms, maxWait: time.Second}, 20*time.Second)
 	if calls > 120 {
-		t.Errorf("%d calls until 80 nodes had a watch after %v", calls, took)
+		t.Errorf("%d calls until 80 nodes had a watch after %v, want 120 at most", calls, took)
 	}
 }
 
-// And behind a backlog, where calls are four times as dear as measured.
+// Guards against the same where discovery is busy for 6 s at the start and each call takes it four times as long as
+// usual.
 func TestFleetWithSlowCallsGetsTheListBehindABacklog(t *testing.T) {
 	discovery := sequentialDiscovery{callDuration: 40 * ms, maxWait: time.Second, freeAt: time.Hour + 6*time.Second}
 	startFleet(t, 80, 80, 0, discovery, 20*time.Second)
 }
 
-// Nodes that start while discovery still has work for some seconds are heard too.
+// Guards against nodes that get no answer because they start while discovery is busy for 6 s.
 func TestFleetGetsTheListBehindABacklog(t *testing.T) {
 	for _, seed := range fleetSeeds {
-		discovery := sequentialDiscovery{callDuration: changesCallDuration, maxWait: changesCallMaxWait, freeAt: time.Hour + 6*time.Second}
+		discovery := sequentialDiscovery{
+			callDuration: changesCallDuration, maxWait: changesCallMaxWait, freeAt: time.Hour + 6*time.Second,
+		}
 		startFleet(t, 300, 210, seed, discovery, 20*time.Second)
 	}
 }
 
-// Were its calls so dear that all of them take longer than what it misses may wait, the fleet calls less
-// often after a while: no node would ever be heard else.
+// Guards against a fleet that overloads discovery for good: its calls together take discovery longer than the time
+// within which a node has to learn of a change. The fleet has to call less often after a while, or no node would ever
+// get an answer.
 func TestFleetThatOverloadsDiscoveryBacksOff(t *testing.T) {
 	discovery := sequentialDiscovery{callDuration: 95 * ms, maxWait: time.Second, freeAt: time.Hour + 6*time.Second}
 	startFleet(t, 80, 80, 0, discovery, 200*time.Second)
 }
 
-// Guards the rule on drains: what discovery has counts as told 6 s after a call that failed, was
-// refused or was given up, however large the fleet and however long discovery was down.
+// Guards against sends to draining servers: 6 s after a call that failed, was refused or was given up, a node counts as
+// told of every change that discovery has, however large the fleet is and however long discovery was down. The next
+// call has to be answered before that.
 func TestFailedCallIsRetriedBeforeTheListIsDue(t *testing.T) {
-	const listDueAfter, maxCallDuration = 6 * time.Second, 500 * ms // what a call that is heard may take
+	const listDueAfter, maxCallDuration = 6 * time.Second, 500 * ms // the longest time that an answered call takes
 	for _, nodes := range []int{1, 20, 350} {
 		for seed := range uint64(20) {
 			settings := testSettings()
@@ -149,7 +157,7 @@
 				t.Fatal(err)
 			}
 			r := &runner{t: t, b: b, host: host, now: time.Hour}
-			requireCall := func(within time.Duration) { // the next call begins
+			requireCall := func(within time.Duration) { // waits for the next call
 				t.Helper()
 				calls, end := host.callCount, r.now+within
 				for host.callCount == calls {
@@ -172,8 +180,8 @@
 	}
 }
 
-// Guards the time that restarted nodes take to be ready: one that knows no server has to hear
-// the list first, so its call must not wait for as long as the settings let others wait.
+// Guards against restarted nodes that are not ready in time: one that knows no server needs the list first, so its
+// call must not be delayed for as long as the settings allow others to be.
 func TestNodesWithNoListCallForItSoon(t *testing.T) {
 	settings := testSettings()
 	settings.NodeCount, settings.ListOnRequest, settings.Rules.MaxCallInterval = 350, true, time.Minute
@@ -186,7 +194,7 @@
 		}
 		r := &runner{t: t, b: b, host: host, now: time.Hour}
 		r.deliverList(ListCached)
-		if r.advance(10*time.Second - 2*time.Second); host.callCount == 0 { // the call may take 2 s
+		if r.advance(10*time.Second - 2*time.Second); host.callCount == 0 { // leaves 2 s for the call
 			late++
 		}
 	}
@@ -195,19 +203,19 @@
 	}
 }
 
-// Few nodes have no reason to wait.
+// Guards against delayed calls of a small fleet, which cannot overload discovery.
 func TestSmallFleetGetsTheListAtOnce(t *testing.T) {
 	if took, _ := startFleet(t, 3, 3, 0, sequentialDiscovery{callDuration: 95 * ms, maxWait: time.Second}, time.Second); took > 700*ms {
-		t.Errorf("3 nodes had a watch after %v", took)
+		t.Errorf("3 nodes had a watch after %v, want 700 ms at most", took)
 	}
 }
 
-// Guards the rule on drains: a node that has not asked for MustAsk counts as told of changes
-// that it has not heard of, however large the fleet.
+// Guards against sends to draining servers: a node that has not called for Rules.MaxCallInterval counts as told of
+// every change, however large the fleet is.
 func TestFirstCallIsMadeBeforeTheListIsDue(t *testing.T) {
 	settings := testSettings()
 	settings.NodeCount, settings.ListOnRequest = 400, true
-	maxCallDuration := 500 * ms // what a call may take
+	maxCallDuration := 500 * ms // the longest time that an answered call takes
 	for seed := range uint64(40) {
 		host := newHost()
 		b, err := New(settings, seed, host)
@@ -228,7 +236,7 @@
 		requireCall("the start", settings.Rules.MaxCallInterval)
 		r.deliverList(ListFailed)
 		requireCall("the end of the watch", settings.Rules.MaxCallInterval)
-		r.deliverList(ListSilent) // noticed 3 s after its call at the latest, which leaves 3 s
+		r.deliverList(ListSilent) // is noticed 3 s after its call at the latest, which leaves 3 s
 		requireCall("a silent watch", 3*time.Second)
 		r.deliverList(ListSilent)
 		calls := host.callCount
@@ -236,7 +244,7 @@
 		if host.callCount == calls {
 			t.Fatalf("seed %d: no call after a second silent watch", seed)
 		}
-		r.deliverList(ListSilent) // the call that came of it
+		r.deliverList(ListSilent) // the call made after the second silent watch
 		requireCall("two silent watches", 3*time.Second)
 	}
 }
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -9,43 +9,45 @@
 	"time"
 )
 
-// A model of a whole fleet in simulated time: many nodes with the real policy, servers with
-// bounded queues that get slow when crowded, and clients that try again when they are turned away.
+// This file simulates a whole fleet on a clock of its own: many nodes with the real policy, servers with bounded
+// queues that become slow under overload, and clients that retry after a refusal.
 
-// fleetModel says what is played.
+// fleetScenario holds the parameters of a simulation.
 type fleetScenario struct {
 	nodes, servers      int
-	loadShare           float64 // share of the servers' capacity that is asked for,
-	burstFactor         float64 // times that from burstFrom to burstTo
+	loadShare           float64 // mean load as a share of the servers' capacity
+	burstFactor         float64 // multiplies the load between burstFrom and burstTo
 	burstFrom           time.Duration
 	burstTo             time.Duration
 	duration            time.Duration
-	retries             int     // further tries of a client after a refusal
-	heedRetryAfterShare float64 // share of the clients that wait as long as they are told
+	retries             int     // most retries of a client after refusals
+	heedRetryAfterShare float64 // share of the clients that wait for the retry-after of a refusal
 }
 
-// modelServer serves its queue in turn on each core.
+// simulatedServer serves its queue in order, one request at a time on each core.
 type simulatedServer struct {
 	cores, maxQueue    int
 	speed              float64
 	busyCores          int
 	queue              []*simulatedAttempt
-	slowdown           float64 // times longer than usual, while choked
+	slowdown           float64 // factor on service times, above 1 after an overload
 	overloadedSince    time.Duration
 	lightlyLoadedSince time.Duration
 }
 
+// simulatedAttempt is an attempt that a node has sent.
 type simulatedAttempt struct {
 	id          RequestID
 	index       int
 	node        *simulatedNode
 	server      ServerID
 	sent        time.Duration
-	workSeconds float64 // seconds on a core of speed 1
-	hasOutcome  bool    // the node has its outcome
+	workSeconds float64 // service time on a core of speed 1
+	hasOutcome  bool    // set once the node has its outcome
 	started     bool
 }
 
+// simulatedClient is a client's request over all of its tries.
 type simulatedClient struct {
 	class           int
 	requestedAt     time.Duration
@@ -55,6 +57,7 @@
 	deadline        time.Duration
 }
 
+// simulatedNode is one node: its policy, and a Host that carries out its actions.
 type simulatedNode struct {
 	fleet     *fleetSimulation
 	nodeIndex int
@@ -65,12 +68,14 @@
 	actions   []func()
 }
 
+// simulatedEvent is an action at a point in simulated time.
 type simulatedEvent struct {
 	at       time.Duration
 	sequence int
 	do       func()
 }
 
+// eventQueue is a heap of events, the earliest first; events of the same time keep their order.
 type eventQueue []simulatedEvent
 
 func (q eventQueue) Len() int { return len(q) }
@@ -85,6 +90,7 @@
 	return last
 }
 
+// fleetSimulation is the state of a simulation.
 type fleetSimulation struct {
 	t              *testing.T
 	scenario       fleetScenario
@@ -95,39 +101,50 @@
 	sequence       int
 	servers        []*simulatedServer
 	nodes          []*simulatedNode
-	requestedValue []float64 // worth, by second
-	servedValue    []float64
+	requestedValue []float64 // value of the requests that arrive, by second of arrival
+	servedValue    []float64 // value of those served within their latency target, by second of arrival
 	sends          int
 }
 
 const simulationStart = time.Hour
 
+// schedule runs do at a time, or now if that is past.
 func (f *fleetSimulation) schedule(at time.Duration, do func()) {
 	f.sequence++
 	heap.Push(&f.events, simulatedEvent{max(at, f.now), f.sequence, do})
 }
 
-// modelSettings has short requests that are wanted soon and longer ones of more worth.
+// simulationSettings returns settings with a class of short requests with a low latency target and one of longer
+// requests with more value.
 func simulationSettings(nodes int) Settings {
 	settings := testSettings()
 	settings.NodeCount = nodes
 	settings.Classes = []Class{
 		{Deadline: 900 * ms, LatencyTarget: 350 * ms, Value: 1, LateValueShare: 0.3},
-		{Deadline: 4500 * ms, LatencyTarget: 900 * ms, Value: 12, LateValueShare: 0.1, Idempotency: IdempotentByKey, DedupScope: DedupCell, DedupWindow: 3 * time.Second},
+		{
+			Deadline: 4500 * ms, LatencyTarget: 900 * ms, Value: 12, LateValueShare: 0.1,
+			Idempotency: IdempotentByKey, DedupScope: DedupCell, DedupWindow: 3 * time.Second,
+		},
 	}
 	settings.Limits = Limits{MaxAttempts: 3, AllowHedging: true, AllowCancel: true, MaxRetryAfter: 800 * ms}
 	settings.Penalties = Penalties{WastedWork: 0.02, LateFailure: 0.037}
 	return settings
 }
 
-var meanWorkSeconds = []float64{0.085, 0.140} // seconds, by class
+// meanWorkSeconds is the mean service time of a request on a core of speed 1, by class.
+var meanWorkSeconds = []float64{0.085, 0.140}
 
-const firstClassShare = 0.78 // share of the requests
+// firstClassShare is the share of the requests that are of the first class.
+const firstClassShare = 0.78
 
-// play plays a model and gives the worth served in time as a share of the worth asked for, by second.
+// run runs the simulation and returns the value that is served within its latency target, as a share of the value
+// of all requests.
 func (scenario fleetScenario) run(t *testing.T, seed uint64) (servedShare float64, simulation *fleetSimulation) {
 	t.Helper()
-	simulation = &fleetSimulation{t: t, scenario: scenario, settings: simulationSettings(scenario.nodes), rng: rand.New(rand.NewPCG(seed, 7)), now: simulationStart}
+	simulation = &fleetSimulation{
+		t: t, scenario: scenario, settings: simulationSettings(scenario.nodes), rng: rand.New(rand.NewPCG(seed, 7)),
+		now: simulationStart,
+	}
 	seconds := int(scenario.duration/time.Second) + 1
 	simulation.requestedValue, simulation.servedValue = make([]float64, seconds), make([]float64, seconds)
 	var list []Entry
@@ -142,7 +159,9 @@
 		}
 		capacity += float64(s.cores) * s.speed
 		simulation.servers = append(simulation.servers, s)
-		list = append(list, Entry{Server: ServerID(i + 1), Zone: i % 2, Cell: i / 6, State: StateInService, Weight: float64(s.cores) * s.speed})
+		list = append(list, Entry{
+			Server: ServerID(i + 1), Zone: i % 2, Cell: i / 6, State: StateInService, Weight: float64(s.cores) * s.speed,
+		})
 	}
 	weights, sum := make([]float64, scenario.nodes), 0.0
 	for i := range weights {
@@ -153,7 +172,10 @@
 		sum += weights[i]
 	}
 	for i := range scenario.nodes {
-		node := &simulatedNode{fleet: simulation, nodeIndex: i, clients: map[RequestID]*simulatedClient{}, attempts: map[RequestID][]*simulatedAttempt{}}
+		node := &simulatedNode{
+			fleet: simulation, nodeIndex: i, clients: map[RequestID]*simulatedClient{},
+			attempts: map[RequestID][]*simulatedAttempt{},
+		}
 		settings := simulation.settings
 		settings.NodeIndex, settings.Zone = i, i%2
 		var err error
@@ -181,7 +203,7 @@
 	return served / requested, simulation
 }
 
-// arrive lets clients ask a node at a rate a second.
+// scheduleArrival has new clients arrive at a node, at baseRate requests per second and more during the burst.
 func (f *fleetSimulation) scheduleArrival(node *simulatedNode, baseRate float64) {
 	rate := baseRate
 	elapsed := f.now - simulationStart
@@ -205,7 +227,7 @@
 	})
 }
 
-// try makes one try of a client at a node.
+// startTry sends a client's request to a node, for its first try or a retry.
 func (f *fleetSimulation) startTry(node *simulatedNode, client *simulatedClient) {
 	left := client.deadline - f.now
 	if left <= 0 {
@@ -219,7 +241,7 @@
 	node.deliver(func(b *Balancer) { b.RequestArrived(f.now, Request{ID: id, Class: client.class, TimeLeft: left}) })
 }
 
-// leave ends a request at its client's deadline.
+// endAtDeadline ends a request at its client's deadline.
 func (n *simulatedNode) endAtDeadline(b *Balancer, id RequestID) {
 	if n.clients[id] == nil {
 		return
@@ -231,7 +253,7 @@
 	b.ClientDisconnected(n.fleet.now, id)
 }
 
-// event hands an event to the policy and then carries its actions out.
+// deliver delivers an event to the policy and then carries out its actions.
 func (n *simulatedNode) deliver(do func(b *Balancer)) {
 	do(n.balancer)
 	for len(n.actions) > 0 {
@@ -241,6 +263,7 @@
 	}
 }
 
+// deliverOutcome delivers the outcome of an attempt and records the value that was served.
 func (n *simulatedNode) deliverOutcome(b *Balancer, attempt *simulatedAttempt, status Status) {
 	if attempt.hasOutcome {
 		return
@@ -250,7 +273,8 @@
 	client := n.clients[attempt.id]
 	if status == OK && client != nil {
 		if now-client.requestedAt <= n.fleet.settings.Classes[client.class].LatencyTarget {
-			n.fleet.servedValue[int((client.requestedAt-simulationStart)/time.Second)] += n.fleet.settings.Classes[client.class].Value
+			n.fleet.servedValue[int((client.requestedAt-simulationStart)/time.Second)] +=
+				n.fleet.settings.Classes[client.class].Value
 		}
 		delete(n.clients, attempt.id)
 	}
@@ -258,7 +282,7 @@
 		RequestDone: n.clients[attempt.id] == nil, Latency: now - attempt.sent})
 }
 
-// again lets a client come back after it was turned away.
+// scheduleRetry has a client retry after a refusal, with exponential backoff.
 func (n *simulatedNode) scheduleRetry(id RequestID, wait time.Duration) {
 	f, client := n.fleet, n.clients[id]
 	if client == nil {
@@ -288,15 +312,15 @@
 	f.schedule(f.now+2*ms, func() { f.servers[server-1].enqueue(f, attempt) })
 }
 
-// WriteBy implements Host.
+// SetWriteDeadline implements Host.
 func (n *simulatedNode) SetWriteDeadline(RequestID, time.Duration) {}
 
-// Cancel implements Host; the work goes on.
+// Cancel implements Host; the server continues its work.
 func (n *simulatedNode) Cancel(id RequestID, index int) {
 	n.actions = append(n.actions, func() { n.deliverOutcome(n.balancer, n.attempts[id][index], Cancelled) })
 }
 
-// Withdraw implements Host; every attempt is under way at once.
+// CancelUnsent implements Host; no attempt is unsent here, because each is written at once.
 func (n *simulatedNode) CancelUnsent(RequestID, int) {}
 
 // Refuse implements Host.
@@ -314,26 +338,28 @@
 	n.fleet.schedule(at, func() { n.deliver(func(b *Balancer) { b.TimerFired(n.fleet.now, token) }) })
 }
 
-// CallList implements Host.
+// StartCall implements Host.
 func (n *simulatedNode) StartCall(Call) {}
 
-// EndCall implements Host.
+// CancelCall implements Host.
 func (n *simulatedNode) CancelCall(CallID) {}
 
-// Ready implements Host.
+// MarkReady implements Host.
 func (n *simulatedNode) MarkReady() {}
 
-// take puts an attempt into the server's queue or turns it away.
+// enqueue puts an attempt into the server's queue, or rejects it if the queue is full.
 func (s *simulatedServer) enqueue(f *fleetSimulation, attempt *simulatedAttempt) {
 	if len(s.queue) >= s.maxQueue {
-		f.schedule(f.now+2*ms, func() { attempt.node.deliver(func(b *Balancer) { attempt.node.deliverOutcome(b, attempt, Rejected) }) })
+		f.schedule(f.now+2*ms, func() {
+			attempt.node.deliver(func(b *Balancer) { attempt.node.deliverOutcome(b, attempt, Rejected) })
+		})
 		return
 	}
 	s.queue = append(s.queue, attempt)
 	s.startWork(f)
 }
 
-// next starts work on free cores.
+// startWork starts queued requests on free cores.
 func (s *simulatedServer) startWork(f *fleetSimulation) {
 	s.updateSlowdown(f.now)
 	for s.busyCores < s.cores && len(s.queue) > 0 {
@@ -349,7 +375,8 @@
 	}
 }
 
-// choke makes a server slow that has had many requests waiting for long, until it has rested.
+// updateSlowdown makes a server slow whose queue has been long for more than 2 s, until its load has been light for
+// more than 3 s.
 func (s *simulatedServer) updateSlowdown(now time.Duration) {
 	waiting, cores := len(s.queue), float64(s.cores)
 	overloaded := float64(waiting) > 5*cores
@@ -372,7 +399,7 @@
 	}
 }
 
-// report gives the share served and the mean admitted share in spans of 2 s.
+// servedShares returns the served share of the value in spans of 2 s, as text.
 func (f *fleetSimulation) servedShares() string {
 	text := ""
 	for i := 0; i+1 < len(f.requestedValue); i += 2 {
@@ -381,9 +408,9 @@
 	return text
 }
 
-// Guards a large fleet against itself: all nodes see a burst late and in the same answers, shed
-// more than it takes, and clients that are turned away come again. The burst asks for an eighth more than
-// the servers can do, for four seconds.
+// Guards against admission control that oscillates in a large fleet: all nodes notice a burst late and at the same
+// time, refuse more than necessary, and the refused clients retry. The burst is an eighth more than the capacity
+// of the servers, for four seconds.
 func TestFleetServesMostThroughABurst(t *testing.T) {
 	scenario := fleetScenario{
 		nodes: 150, servers: 80, loadShare: 0.75, burstFactor: 1.5, burstFrom: 6 * time.Second, burstTo: 10 * time.Second,
@@ -393,10 +420,10 @@
 	const seeds = 2
 	for seed := range uint64(seeds) {
 		served, simulation := scenario.run(t, seed)
-		t.Logf("seed %d: served %.3f, in spans of 2 s%s", seed, served, simulation.servedShares())
+		t.Logf("seed %d: served share of the value %.3f, in spans of 2 s%s", seed, served, simulation.servedShares())
 		sum += served
 	}
 	if mean := sum / seeds; mean < 0.8 {
-		t.Errorf("%.3f of the worth is served, want 0.8", mean)
+		t.Errorf("%.3f of the value is served, want at least 0.8", mean)
 	}
 }
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// newFleet gives the nodes of a fleet, numbered, each with the same list of servers.
+// newFleetRunners returns a runner for each node of a fleet, in the order of node indexes; all have the same list of
+// servers.
 func newFleetRunners(t *testing.T, settings Settings, nodes int, servers ...Entry) []*runner {
 	t.Helper()
 	fleet := make([]*runner, nodes)
@@ -17,6 +18,7 @@
 	return fleet
 }
 
+// newNodeRunner returns a runner for one node of a fleet, with a list of servers.
 func newNodeRunner(t *testing.T, settings Settings, nodes, nodeIndex int, seed uint64, servers ...Entry) *runner {
 	t.Helper()
 	settings.NodeCount, settings.NodeIndex = nodes, nodeIndex
@@ -30,7 +32,7 @@
 	return r
 }
 
-// unbound has no class whose repeats are bound to a group of servers.
+// unboundSettings returns settings without a class whose repeats are bound to a group of servers.
 func unboundSettings() Settings {
 	settings := testSettings()
 	settings.Classes = settings.Classes[:1]
@@ -38,6 +40,7 @@
 	return settings
 }
 
+// subsetIDs returns the ids of the servers in the node's subset, sorted.
 func (r *runner) subsetIDs() []ServerID {
 	var ids []ServerID
 	for _, s := range r.b.subset {
@@ -47,7 +50,7 @@
 	return ids
 }
 
-// feedersOf counts the nodes that work with each server.
+// nodesByServer counts the nodes that have each server in their subset.
 func nodesByServer(fleet []*runner) map[ServerID]int {
 	count := map[ServerID]int{}
 	for _, r := range fleet {
@@ -62,13 +65,14 @@
 	for _, c := range []struct{ nodes, servers int }{{1, 3}, {3, 200}, {minNodesPerServer, 200}, {300, minSubsetSize}} {
 		for _, r := range newFleetRunners(t, unboundSettings(), c.nodes, inServiceEntries(1, c.servers)...) {
 			if n := len(r.b.subset); n != c.servers {
-				t.Errorf("%d nodes: one works with %d of %d servers, want all", c.nodes, n, c.servers)
+				t.Errorf("%d nodes: the subset of one has %d of %d servers, want all", c.nodes, n, c.servers)
 			}
 		}
 	}
 }
 
-// Guards servers of a large fleet against uneven shares of it: each has as many nodes as any other.
+// Guards against servers of a large fleet that get uneven shares of its load: each has to be in as many subsets as
+// any other.
 func TestEachServerHasTheSameNumberOfNodes(t *testing.T) {
 	for _, c := range []struct{ nodes, servers int }{{64, 100}, {300, 160}, {301, 200}, {640, 400}} {
 		count := nodesByServer(newFleetRunners(t, unboundSettings(), c.nodes, inServiceEntries(1, c.servers)...))
@@ -77,41 +81,42 @@
 			least, most = min(least, count[id]), max(most, count[id])
 		}
 		if least < minNodesPerServer || most > least+1 {
-			t.Errorf("%d nodes, %d servers: %d to %d nodes a server", c.nodes, c.servers, least, most)
+			t.Errorf("%d nodes, %d servers: %d to %d nodes per server", c.nodes, c.servers, least, most)
 		}
 		if share := float64(most) / float64(c.nodes); share > 0.75 {
-			t.Errorf("%d nodes, %d servers: each node works with %.2f of the servers", c.nodes, c.servers, share)
+			t.Errorf("%d nodes, %d servers: the subset of a node has %.2f of the servers, want 0.75 or less", c.nodes, c.servers, share)
 		}
 	}
 }
 
-// A change of the list moves no node away from the servers that it leaves alone.
+// Guards against list changes that move nodes between servers that are not changed.
 func TestListChangeMovesOnlyTheNodesOfItsServers(t *testing.T) {
 	const nodes, servers = 200, 120
 	fleet := newFleetRunners(t, unboundSettings(), nodes, inServiceEntries(1, servers)...)
 	before := make([][]ServerID, nodes)
 	for i, r := range fleet {
 		before[i] = r.subsetIDs()
-		r.deliverList(ListChanges, Entry{Server: 7, State: StateGone}, Entry{Server: 30, State: StateDraining}, inServiceEntries(1000, 1000)[0])
+		r.deliverList(ListChanges,
+			Entry{Server: 7, State: StateGone}, Entry{Server: 30, State: StateDraining}, inServiceEntries(1000, 1000)[0])
 	}
 	for i, r := range fleet {
 		for _, id := range before[i] {
 			if id != 7 && id != 30 && !slices.Contains(r.subsetIDs(), id) {
-				t.Errorf("node %d left server %d", i, id)
+				t.Errorf("node %d: server %d has left the subset", i, id)
 			}
 		}
 		for _, id := range r.subsetIDs() {
 			if id != 1000 && !slices.Contains(before[i], id) {
-				t.Errorf("node %d came to server %d", i, id)
+				t.Errorf("node %d: server %d has joined the subset", i, id)
 			}
 		}
 	}
 	if n := nodesByServer(fleet)[1000]; n < minNodesPerServer || n > minNodesPerServer+8 {
-		t.Errorf("%d nodes work with the new server", n)
+		t.Errorf("the new server is in %d subsets", n)
 	}
 }
 
-// A restarted node works with the servers that it had, whatever the order of the list.
+// Guards against a restarted node with another subset than before, whatever the order of the list.
 func TestRestartedNodeChoosesTheSameServers(t *testing.T) {
 	list := inServiceEntries(1, 150)
 	reversed := slices.Clone(list)
@@ -120,12 +125,12 @@
 		first := newNodeRunner(t, unboundSettings(), 300, nodeIndex, 1, list...).subsetIDs()
 		again := newNodeRunner(t, unboundSettings(), 300, nodeIndex, 2, reversed...).subsetIDs()
 		if !slices.Equal(first, again) {
-			t.Fatalf("node %d works with %v after a restart, before it with %v", nodeIndex, again, first)
+			t.Fatalf("node %d: subset %v after a restart, %v before it", nodeIndex, again, first)
 		}
 	}
 }
 
-// The list may come as changes or whole: what a node works with is the same.
+// Guards against a subset that depends on whether the list came whole or as changes.
 func TestSubsetFollowsChangesAsItFollowsWholeLists(t *testing.T) {
 	whole := newNodeRunner(t, unboundSettings(), 300, 5, 1, inServiceEntries(1, 160)...)
 	changes := newNodeRunner(t, unboundSettings(), 300, 5, 1, inServiceEntries(1, 2)...)
@@ -143,8 +148,8 @@
 	}
 }
 
-// Guards breakers against a lack of evidence: a node that asks more works with more servers, so that
-// each gets about as many attempts from it, enough to open its breaker within outcomesFor.
+// Guards against servers that get too few attempts for their breakers to open: the subset has to grow and shrink with
+// the node's load, so that each server gets enough attempts for that within outcomeWindow.
 func TestSubsetFollowsTheLoad(t *testing.T) {
 	for _, requestsPerSecond := range []int{2, 20, 60} {
 		r := newNodeRunner(t, unboundSettings(), 300, 3, 1, inServiceEntries(1, 1000)...)
@@ -156,12 +161,13 @@
 		least := 1000 * float64(minNodesPerServer) / 300
 		want := max(least, float64(requestsPerSecond)*outcomeWindow.Seconds()/failuresToOpen)
 		if n := float64(len(r.b.subset)); n < 0.7*want || n > 1.5*want {
-			t.Errorf("%d requests a second: %v servers, want about %v", requestsPerSecond, n, want)
+			t.Errorf("%d requests/s: %v servers, want about %v", requestsPerSecond, n, want)
 		}
 	}
 }
 
-// failAll asks once in each step; bad servers can't be connected to. It stops at the first refusal.
+// sendUntilRefused sends a request in each step of time and reports whether one is refused, at which it stops.
+// Attempts at servers that are down fail to connect; the others succeed.
 func (r *runner) sendUntilRefused(step time.Duration, isDown func(ServerID) bool) (refused bool) {
 	for range 4000 {
 		id := r.sendRequest(0)
@@ -180,8 +186,8 @@
 	return false
 }
 
-// Where all of it fails a node tries further servers, but not the whole of a large fleet, and
-// then refuses at once with a time to come back.
+// Guards against a node that tries all servers of a large fleet when its subset fails: it has to try a bounded number
+// of further servers and then refuse at once.
 func TestSubsetThatFailsIsWidenedWithinBounds(t *testing.T) {
 	r := newNodeRunner(t, unboundSettings(), 300, 3, 1, inServiceEntries(1, 1000)...)
 	before := len(r.b.subset)
@@ -193,16 +199,17 @@
 		tried[s.server] = true
 	}
 	if len(tried) < 2*before || len(tried) > 6*before {
-		t.Errorf("%d servers met, with a subset of %d", len(tried), before)
+		t.Errorf("%d servers tried, with a subset of %d", len(tried), before)
 	}
 }
 
-// Guards nodes whose servers all fail or drain while others of the fleet are well.
+// Guards against a node that refuses requests when all servers of its subset fail or drain, while others of the fleet
+// are healthy.
 func TestNodeUsesOtherServersWhenItsSubsetFails(t *testing.T) {
 	r := newNodeRunner(t, unboundSettings(), 300, 3, 1, inServiceEntries(1, 1000)...)
 	subset := r.subsetIDs()
 	if r.sendUntilRefused(20*ms, func(id ServerID) bool { return slices.Contains(subset, id) }) {
-		t.Error("a request was refused though most servers of the fleet are well")
+		t.Error("a request was refused though most servers of the fleet are healthy")
 	}
 	drained := newNodeRunner(t, unboundSettings(), 300, 3, 1, inServiceEntries(1, 1000)...)
 	var entries []Entry
@@ -213,13 +220,14 @@
 	if n := len(drained.b.subset); n < minSubsetSize/2 {
 		t.Errorf("%d servers are left after all of the subset drained", n)
 	}
-	if id := drained.sendRequest(0); len(drained.serversSentTo(id)) != 1 || slices.Contains(subset, drained.serversSentTo(id)[0]) {
+	if id := drained.sendRequest(0); len(drained.serversSentTo(id)) != 1 ||
+		slices.Contains(subset, drained.serversSentTo(id)[0]) {
 		t.Error("a request was not sent to another server")
 	}
 }
 
-// Guards a fleet against the loss of a zone: every node has servers elsewhere, and none goes
-// to as many further ones as would be new connections by the thousand.
+// Guards against nodes that refuse requests after the loss of a zone: every subset has servers in other zones. None is
+// widened so much that the fleet opens thousands of new connections.
 func TestNoNodeRefusesAfterTheLossOfAZone(t *testing.T) {
 	const zones = 3
 	list := inServiceEntries(1, 160)
@@ -236,12 +244,13 @@
 			t.Errorf("node %d refused a request after the loss of one of %d zones", nodeIndex, zones)
 		}
 		if n := len(r.b.subset); n > 2*before {
-			t.Errorf("node %d works with %d servers after the loss of a zone, before it with %d", nodeIndex, n, before)
+			t.Errorf("node %d: subset of %d servers after the loss of a zone, %d before it", nodeIndex, n, before)
 		}
 	}
 }
 
-// Guards keyed requests whose repeats are bound to a zone or a cell: another server of it is at hand.
+// Guards against requests that cannot be repeated, because their repeats are bound to a zone or a cell with one server
+// in the subset: there has to be a second one.
 func TestRepeatsFindASecondServerOfTheirGroup(t *testing.T) {
 	list := inServiceEntries(1, 180)
 	for i := range list {
@@ -263,17 +272,17 @@
 			}
 			for id, n := range serversByGroup {
 				if n < 2 {
-					t.Errorf("scope %d, node %d: one server of group %d", scope, nodeIndex, id)
+					t.Errorf("scope %d, node %d: one server of group %d in the subset, want two or more", scope, nodeIndex, id)
 				}
 			}
 			if scope == DedupZone && len(serversByGroup) != 6 {
-				t.Errorf("node %d: %d of 6 zones", nodeIndex, len(serversByGroup))
+				t.Errorf("node %d: subset has servers in %d of 6 zones", nodeIndex, len(serversByGroup))
 			}
 		}
 	}
 }
 
-// Where all servers are one cell, they are still shared out or all at hand.
+// Guards against nodes without servers where all servers are in one cell, so that they have the same nodes.
 func TestSingleCellLeavesNoNodeWithoutServers(t *testing.T) {
 	list := inServiceEntries(1, 180)
 	for i := range list {
@@ -281,13 +290,13 @@
 	}
 	for nodeIndex, r := range newFleetRunners(t, testSettings(), 300, list...) {
 		if len(r.b.subset) < minSubsetSize/2 {
-			t.Fatalf("node %d works with %d servers", nodeIndex, len(r.b.subset))
+			t.Fatalf("node %d: subset of %d servers", nodeIndex, len(r.b.subset))
 		}
 	}
 }
 
-// Guards large fleets against servers that nobody learns to avoid: one that fails every request has to be
-// left by nearly all nodes within seconds, though each node sends just a few requests a second.
+// Guards against failing servers that the nodes of a large fleet do not learn to avoid: nearly all nodes have to avoid
+// one that fails every request within seconds, though each node sends just a few requests per second.
 func TestFleetAvoidsFailingServersWithinSeconds(t *testing.T) {
 	const nodes, servers, failing = 300, 160, 8
 	const step, requestsPerSecond = 20 * ms, 10.0
@@ -313,8 +322,8 @@
 			r.b.ClientDisconnected(r.now, id)
 		}
 	}
-	// Left alone they would get failing/servers of all attempts.
+	// Without breakers and scores they would get failing/servers of all attempts.
 	if last := failed[3] / sent[3]; last > 0.2*failing/servers {
-		t.Errorf("%.4f of the attempts go to failing servers after 15 s", last)
+		t.Errorf("%.4f of the attempts go to failing servers after 15 s, want a fifth of their even share or less", last)
 	}
 }
