--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -139,7 +139,7 @@
 
 // Guards against a breaker that never closes again where every class is non-idempotent: its trial has to be a
 // non-idempotent request then.
-func TestTrialIsUnsafeWhereEveryClassIs(t *testing.T) {
+func TestTrialIsNonIdempotentWhereEveryClassIs(t *testing.T) {
 	settings := testSettings()
 	settings.Classes = settings.Classes[2:]
 	r := newRunner(t, settings, 3)
@@ -227,11 +227,11 @@
 // Guards against refusing requests whose late answers still have value, and against admitting them where the
 // penalties for late answers are as high as that value.
 func TestAdmitsMoreWhereLateAnswersHaveValue(t *testing.T) {
-	admitted := func(prices Penalties) float64 {
+	admitted := func(penalties Penalties) float64 {
 		settings := testSettings()
 		settings.NodeCount = 100
 		settings.Classes[0].LateValueShare = 0.5
-		settings.Penalties = prices
+		settings.Penalties = penalties
 		r := newRunner(t, settings, 10)
 		for range 100 {
 			id := r.sendRequest(0)
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -33,8 +33,8 @@
 	settings := testSettings()
 	settings.NodeCount, settings.ListOnRequest = fleetSize, true
 	type callAnswer struct {
-		at time.Duration
-		ok bool
+		at       time.Duration
+		answered bool
 	}
 	const step = 5 * ms
 	start := time.Hour
@@ -57,12 +57,12 @@
 			if r.host.callCount > callsSeen[i] {
 				callsSeen[i]++
 				calls++
-				heard, ok := discovery.receive(now)
-				pendingAnswers[i] = &callAnswer{heard, ok}
+				endsAt, answered := discovery.receive(now)
+				pendingAnswers[i] = &callAnswer{endsAt, answered}
 			}
-			if n := pendingAnswers[i]; n != nil && now >= n.at {
+			if answer := pendingAnswers[i]; answer != nil && now >= answer.at {
 				pendingAnswers[i] = nil
-				if n.ok {
+				if answer.answered {
 					watching++
 					r.deliverList(ListChanges)
 				} else {
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -41,7 +41,7 @@
 	index       int
 	node        *simulatedNode
 	server      ServerID
-	sent        time.Duration
+	sentAt      time.Duration
 	workSeconds float64 // service time on a core of speed 1
 	hasOutcome  bool    // set once the node has its outcome
 	started     bool
@@ -279,7 +279,7 @@
 		delete(n.clients, attempt.id)
 	}
 	b.AttemptEnded(now, Outcome{ID: attempt.id, Attempt: attempt.index, Server: attempt.server, Status: status,
-		RequestDone: n.clients[attempt.id] == nil, Latency: now - attempt.sent})
+		RequestDone: n.clients[attempt.id] == nil, Latency: now - attempt.sentAt})
 }
 
 // scheduleRetry has a client retry after a refusal, with exponential backoff.
@@ -307,7 +307,7 @@
 	if client := n.clients[id]; client != nil {
 		work = client.workSeconds
 	}
-	attempt := &simulatedAttempt{id: id, index: len(n.attempts[id]), node: n, server: server, sent: f.now, workSeconds: work}
+	attempt := &simulatedAttempt{id: id, index: len(n.attempts[id]), node: n, server: server, sentAt: f.now, workSeconds: work}
 	n.attempts[id] = append(n.attempts[id], attempt)
 	f.schedule(f.now+2*ms, func() { f.servers[server-1].enqueue(f, attempt) })
 }
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -15,10 +15,10 @@
 	"otterstep/policy"
 )
 
-// How one node's decisions, list changes, whole lists and memory grow with the number of
-// servers and tenants. Everything here goes through the exported interface on a driven clock.
-// The benchmarks print the slopes that docs/CAPACITY.md rests on; the tests assert shapes: the
-// cost at one size over the cost at another, or counts of work, never a time.
+// The benchmarks and tests in this file show how the costs of one node's decisions, list changes and whole lists and its
+// memory grow with the number of servers and tenants. They use the exported interface alone, on a clock that they
+// advance themselves. The benchmarks print the figures that docs/CAPACITY.md is based on. The tests compare the cost at
+// one size with the cost at another, or count work; they never assert a time.
 
 // The operators' target.
 const (
@@ -27,23 +27,23 @@
 	targetTenants           = 160_000
 	targetZones             = 24
 	targetRequestsPerSecond = 700_000
-	targetMemoryBytes       = 32 << 20 // for control, on each node
+	targetMemoryBytes       = 32 << 20 // memory for control on each node
 )
 
-// baseServers is the size that costs at the target are compared with. A cost that follows the
-// size grows by targetServers/baseServers, which is about 17; a bounded one stays.
+// baseServers is the number of servers that costs at the target are compared with. A cost that is proportional to that
+// number grows by targetServers/baseServers, which is about 17; a bounded one stays the same.
 const baseServers = 3200
 
 const (
-	arrivalGap     = time.Second * targetNodes / targetRequestsPerSecond // between requests at a node
+	arrivalGap     = time.Second * targetNodes / targetRequestsPerSecond // time between requests at a node
 	serverLatency  = 20 * time.Millisecond
-	warmUpRequests = 1500 // requests before anything is measured: a node sizes its subset by 10 s of them
+	warmUpRequests = 1500 // requests before a measurement, because a node sizes its subset by 10 s of them
 )
 
-// benchmarkSizes are numbers of servers.
+// benchmarkServerCounts are the numbers of servers that benchmarks are run with.
 var benchmarkServerCounts = []int{200, 1000, 3200, 5000, 20_000, targetServers}
 
-// nodesBefore is the size of a fleet with the target's ratio of nodes to servers.
+// nodesForServers returns the size of a fleet with the target's ratio of nodes to servers.
 func nodesForServers(servers int) int {
 	return max(1, servers*targetNodes/targetServers)
 }
@@ -68,28 +68,28 @@
 	return last
 }
 
-// attemptOut is an attempt that a server is working on.
+// inFlightAttempt is an attempt that a server is working on.
 type inFlightAttempt struct {
 	id      policy.RequestID
 	attempt int
 	server  policy.ServerID
-	sent    time.Duration
+	sentAt  time.Duration
 }
 
-// scaleNode is one node's policy on a driven clock, before servers that answer each attempt
-// after serverLatency. It implements policy.Host.
+// scaleNode is one node's policy on a simulated clock. Its servers answer each attempt after serverLatency. It
+// implements policy.Host.
 type scaleNode struct {
 	balancer         *policy.Balancer
 	now              time.Duration
 	lastID           policy.RequestID
 	timers           timerQueue
-	inFlight         []inFlightAttempt // oldest first
-	attempts         map[policy.RequestID]int
-	attemptsByServer map[policy.ServerID]int // attempts sent to each server
+	inFlight         []inFlightAttempt        // oldest first
+	attempts         map[policy.RequestID]int // number of attempts for each request
+	attemptsByServer map[policy.ServerID]int  // number of attempts sent to each server
 	refused          int
 }
 
-// newScaleNode makes the policy of one node; it knows no server yet.
+// newScaleNode returns a node that knows no server yet.
 func newScaleNode(tb testing.TB, settings policy.Settings) *scaleNode {
 	tb.Helper()
 	node := &scaleNode{
@@ -105,7 +105,7 @@
 	return node
 }
 
-// listedScaleNode gives a node that knows the servers.
+// listedScaleNode returns a node that knows the servers.
 func listedScaleNode(tb testing.TB, nodes, servers int) *scaleNode {
 	tb.Helper()
 	node := newScaleNode(tb, scaleSettings(nodes, 0))
@@ -113,7 +113,7 @@
 	return node
 }
 
-// startScaleNode gives a node that knows the servers and has served some requests.
+// warmedUpScaleNode returns a node that knows the servers and has served warmUpRequests.
 func warmedUpScaleNode(tb testing.TB, nodes, servers int) *scaleNode {
 	tb.Helper()
 	node := listedScaleNode(tb, nodes, servers)
@@ -121,10 +121,11 @@
 	return node
 }
 
+// scaleSettings returns the settings of a node of a fleet with these numbers of nodes and tenants.
 func scaleSettings(nodes, tenants int) policy.Settings {
 	settings := policy.Defaults()
 	settings.NodeCount = nodes
-	settings.NodeIndex = nodes / 2 // any one: not drawn, so that each run has the same subset
+	settings.NodeIndex = nodes / 2 // fixed instead of drawn, so that each run has the same subset
 	settings.Classes = []policy.Class{{
 		Deadline: 2 * time.Second, LatencyTarget: 800 * time.Millisecond, Value: 1, Idempotency: policy.Idempotent,
 	}}
@@ -136,8 +137,8 @@
 	return settings
 }
 
-// scaleServer is the list's line for a server: warm and ready, spread over the zones. Ids are
-// hashes in a real node, so they are spread over the whole range here too.
+// scaleServer returns the list's entry for a server, which is warm and in service. Servers are spread over the zones,
+// and their ids over the whole range, because ids are hashes in a real node.
 func scaleServer(index int) policy.Entry {
 	return policy.Entry{
 		Server: policy.ServerID(uint64(index+1) * 0x9e3779b97f4a7c15),
@@ -148,6 +149,7 @@
 	}
 }
 
+// scaleServers returns the entries of a list of servers.
 func scaleServers(count int) []policy.Entry {
 	entries := make([]policy.Entry, count)
 	for i := range entries {
@@ -156,12 +158,12 @@
 	return entries
 }
 
-// serve takes requests in at the target's rate, with the outcomes and timers between them.
+// serve sends requests to the node at the target's rate, and delivers the outcomes and timers between them.
 func (n *scaleNode) serve(requests int) {
 	n.serveTenant(requests, 0)
 }
 
-// serveTenant does the same; the requests belong to one tenant after the other, from first on.
+// serveTenant does the same, with each request from the next tenant, beginning with first.
 func (n *scaleNode) serveTenant(requests, first int) {
 	for i := range requests {
 		n.advance(arrivalGap)
@@ -170,22 +172,22 @@
 	}
 }
 
-// advance lets time go by and delivers what falls due.
-func (n *scaleNode) advance(by time.Duration) {
-	for end := n.now + by; ; {
-		timer, answer := time.Duration(math.MaxInt64), time.Duration(math.MaxInt64)
+// advance advances the clock and delivers the timers and answers that are due.
+func (n *scaleNode) advance(duration time.Duration) {
+	for end := n.now + duration; ; {
+		timerAt, answerAt := time.Duration(math.MaxInt64), time.Duration(math.MaxInt64)
 		if len(n.timers) > 0 {
-			timer = n.timers[0].at
+			timerAt = n.timers[0].at
 		}
 		if len(n.inFlight) > 0 {
-			answer = n.inFlight[0].sent + serverLatency
+			answerAt = n.inFlight[0].sentAt + serverLatency
 		}
-		if min(timer, answer) > end {
+		if min(timerAt, answerAt) > end {
 			n.now = end
 			return
 		}
-		n.now = max(n.now, min(timer, answer))
-		if answer <= timer {
+		n.now = max(n.now, min(timerAt, answerAt))
+		if answerAt <= timerAt {
 			n.answer()
 			continue
 		}
@@ -201,7 +203,7 @@
 	delete(n.attempts, oldest.id)
 	n.balancer.AttemptEnded(n.now, policy.Outcome{
 		ID: oldest.id, Attempt: oldest.attempt, Server: oldest.server,
-		Status: policy.OK, RequestDone: true, Latency: n.now - oldest.sent,
+		Status: policy.OK, RequestDone: true, Latency: n.now - oldest.sentAt,
 	})
 }
 
@@ -226,38 +228,38 @@
 // Cancel implements policy.Host. Each attempt is answered in time, so nothing is cancelled.
 func (n *scaleNode) Cancel(policy.RequestID, int) {}
 
-// Withdraw implements policy.Host.
+// CancelUnsent implements policy.Host.
 func (n *scaleNode) CancelUnsent(policy.RequestID, int) {}
 
-// WriteBy implements policy.Host.
+// SetWriteDeadline implements policy.Host.
 func (n *scaleNode) SetWriteDeadline(policy.RequestID, time.Duration) {}
 
-// CallList implements policy.Host.
+// StartCall implements policy.Host.
 func (n *scaleNode) StartCall(policy.Call) {}
 
-// EndCall implements policy.Host.
+// CancelCall implements policy.Host.
 func (n *scaleNode) CancelCall(policy.CallID) {}
 
-// Ready implements policy.Host.
+// MarkReady implements policy.Host.
 func (n *scaleNode) MarkReady() {}
 
-// changeOneLine tells of one server that drains, or is ready again.
+// changeOneEntry delivers a list change of one server, which drains or is in service again.
 func (n *scaleNode) changeOneEntry(index int, state policy.ServerState) {
 	entry := scaleServer(index)
 	entry.State = state
 	n.balancer.ListUpdated(n.now, policy.ListChanges, []policy.Entry{entry})
 }
 
-// heapBytes is what is on the heap once garbage is collected.
+// liveHeapBytes returns the size of the heap after garbage collection.
 func liveHeapBytes() float64 {
 	runtime.GC()
-	runtime.GC() // a second time, for what the first has only marked to be freed
+	runtime.GC() // a second time, because the first only marks some of it to be freed
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return float64(stats.HeapAlloc)
 }
 
-// heapOf is how much of the heap is held by what build gives.
+// heapBytesOf returns the size of the heap that the result of build holds.
 func heapBytesOf[T any](build func() T) float64 {
 	before := liveHeapBytes()
 	held := build()
@@ -266,7 +268,7 @@
 	return after - before
 }
 
-// allocated is how many bytes do allocates, freed ones included.
+// allocatedBytes returns the number of bytes that do allocates, freed ones included.
 func allocatedBytes(do func()) float64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -275,8 +277,8 @@
 	return float64(after.TotalAlloc - before.TotalAlloc)
 }
 
-// threadTime is the processor time that this thread has used, which does not count the
-// time for which others held the processor. The caller has to lock the thread.
+// threadCPUTime returns the processor time that this thread has used, which leaves out the time in which others held
+// the processor. The caller has to lock the thread.
 func threadCPUTime() time.Duration {
 	var used unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &used); err != nil {
@@ -285,17 +287,17 @@
 	return time.Duration(used.Nano())
 }
 
-// costRounds is how often costs are measured, in turn; a ratio is the median of as many.
+// costRounds is the number of times that two costs are measured in turn; their ratio is the median of all.
 const costRounds = 7
 
-// costRatio is the processor time of large over that of small. Both are measured right after
-// one another, so that what slows the machine slows both.
+// costRatio returns the processor time of large as a multiple of that of small. Both are measured right after one
+// another, so that whatever slows the machine slows both.
 func costRatio(small, large func()) float64 {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	ratios := make([]float64, costRounds)
 	for i := range ratios {
-		runtime.GC() // what others have left behind is not collected on this thread's time
+		runtime.GC() // so that this thread does not spend time on the garbage of others
 		start := threadCPUTime()
 		small()
 		middle := threadCPUTime()
@@ -305,31 +307,33 @@
 	return median(ratios)
 }
 
+// median returns the median, or the higher of the two middle values.
 func median[T cmp.Ordered](values []T) T {
 	sorted := slices.Sorted(slices.Values(values))
 	return sorted[len(sorted)/2]
 }
 
-// ---- benchmarks: the slopes
+// ---- benchmarks
 
+// runForEachServerCount runs a benchmark with each of benchmarkServerCounts.
 func runForEachServerCount(b *testing.B, run func(b *testing.B, servers int)) {
 	for _, servers := range benchmarkServerCounts {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) { run(b, servers) })
 	}
 }
 
-// requestsEach is the number of requests in one iteration of a benchmark.
+// requestsPerIteration is the number of requests in one iteration of a benchmark.
 const requestsPerIteration = 20
 
+// reportRequests reports the time per request, and as %core the share of a core that requests take at the target's rate.
 func reportRequests(b *testing.B) {
 	nanosecondsPerRequest := float64(b.Elapsed().Nanoseconds()) / float64(b.N) / requestsPerIteration
 	b.ReportMetric(nanosecondsPerRequest, "ns/request")
 	b.ReportMetric(100*nanosecondsPerRequest*targetRequestsPerSecond/targetNodes/1e9, "%core")
 }
 
-// BenchmarkScaleRequest is a request with its outcome and the timers that fall due, in a fleet
-// with the target's ratio of nodes to servers. %core is the part of a core that this
-// takes at the target's rate of requests.
+// BenchmarkScaleRequest measures a request with its outcome and the timers that are due, in a fleet with the target's
+// ratio of nodes to servers.
 func BenchmarkScaleRequest(b *testing.B) {
 	runForEachServerCount(b, func(b *testing.B, servers int) {
 		node := warmedUpScaleNode(b, nodesForServers(servers), servers)
@@ -341,8 +345,8 @@
 	})
 }
 
-// BenchmarkScaleRequestTargetNodes is the same in a fleet that has the target's number of nodes
-// at each size; nodes that outnumber their servers shed and pick by other rules.
+// BenchmarkScaleRequestTargetNodes measures the same in a fleet with the target's number of nodes for each number of
+// servers; where nodes outnumber servers, other rules hold for load shedding and for the choice of servers.
 func BenchmarkScaleRequestTargetNodes(b *testing.B) {
 	runForEachServerCount(b, func(b *testing.B, servers int) {
 		node := warmedUpScaleNode(b, targetNodes, servers)
@@ -353,7 +357,7 @@
 	})
 }
 
-// BenchmarkScaleChange is a change of the list by one line.
+// BenchmarkScaleChange measures a list change of one entry.
 func BenchmarkScaleChange(b *testing.B) {
 	runForEachServerCount(b, func(b *testing.B, servers int) {
 		node := warmedUpScaleNode(b, nodesForServers(servers), servers)
@@ -365,23 +369,23 @@
 	})
 }
 
-// BenchmarkScaleSubsetChange is the same for servers that the node has met, which change its subset.
+// BenchmarkScaleSubsetChange measures the same for servers that the node has sent to, so that its subset changes.
 func BenchmarkScaleSubsetChange(b *testing.B) {
 	runForEachServerCount(b, func(b *testing.B, servers int) {
 		node := warmedUpScaleNode(b, nodesForServers(servers), servers)
-		var met []int
+		var triedServers []int
 		for index := range servers {
 			if node.attemptsByServer[scaleServer(index).Server] > 0 {
-				met = append(met, index)
+				triedServers = append(triedServers, index)
 			}
 		}
 		for i := 0; b.Loop(); i++ {
-			node.changeOneEntry(met[i/2%len(met)], []policy.ServerState{policy.StateDraining, policy.StateInService}[i%2])
+			node.changeOneEntry(triedServers[i/2%len(triedServers)], []policy.ServerState{policy.StateDraining, policy.StateInService}[i%2])
 		}
 	})
 }
 
-// BenchmarkScaleWholeList is a whole list that changes nothing.
+// BenchmarkScaleWholeList measures a whole list that changes nothing.
 func BenchmarkScaleWholeList(b *testing.B) {
 	runForEachServerCount(b, func(b *testing.B, servers int) {
 		node := warmedUpScaleNode(b, nodesForServers(servers), servers)
@@ -393,8 +397,8 @@
 	})
 }
 
-// BenchmarkScaleStart is a new node that gets its first list; it reports the memory that the
-// node then holds. The lines of the list itself are not counted.
+// BenchmarkScaleStart measures a new node that gets its first list, and reports the memory that the node then holds
+// beside the entries of the list.
 func BenchmarkScaleStart(b *testing.B) {
 	runForEachServerCount(b, func(b *testing.B, servers int) {
 		settings, entries := scaleSettings(nodesForServers(servers), 0), scaleServers(servers)
@@ -406,24 +410,24 @@
 		for b.Loop() {
 			start()
 		}
-		held := heapBytesOf(start)
-		runtime.KeepAlive(entries) // else they are freed meanwhile and taken off what the node holds
-		b.ReportMetric(held/float64(servers), "heap-B/server")
-		b.ReportMetric(held/(1<<20), "heap-MiB")
+		heldBytes := heapBytesOf(start)
+		runtime.KeepAlive(entries) // otherwise they may be freed before the measurement ends, which would lower it
+		b.ReportMetric(heldBytes/float64(servers), "heap-B/server")
+		b.ReportMetric(heldBytes/(1<<20), "heap-MiB")
 	})
 }
 
-// tenantSizes are numbers of tenants.
+// benchmarkTenantCounts are the numbers of tenants that benchmarks are run with.
 var benchmarkTenantCounts = []int{1000, 10_000, 40_000, targetTenants}
 
-// BenchmarkScaleTenants is a request before 200 servers; each request is another tenant's.
+// BenchmarkScaleTenants measures a request with 200 servers, each from another tenant.
 func BenchmarkScaleTenants(b *testing.B) {
 	const servers = 200
 	for _, tenants := range benchmarkTenantCounts {
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
 			settings := scaleSettings(nodesForServers(servers), tenants)
-			settingsOf := heapBytesOf(func() []policy.Tenant { return slices.Clone(settings.Tenants) })
-			held := heapBytesOf(func() *scaleNode { return newScaleNode(b, settings) })
+			settingsBytes := heapBytesOf(func() []policy.Tenant { return slices.Clone(settings.Tenants) })
+			heldBytes := heapBytesOf(func() *scaleNode { return newScaleNode(b, settings) })
 			node := newScaleNode(b, settings)
 			node.balancer.ListUpdated(node.now, policy.ListWhole, scaleServers(servers))
 			node.serve(warmUpRequests)
@@ -431,15 +435,14 @@
 				node.serveTenant(requestsPerIteration, first)
 			}
 			reportRequests(b)
-			b.ReportMetric((held+settingsOf)/float64(tenants), "heap-B/tenant")
+			b.ReportMetric((heldBytes+settingsBytes)/float64(tenants), "heap-B/tenant")
 		})
 	}
 }
 
-// ---- tests: the shapes
+// ---- tests
 
-// A change of one line must not bring garbage that follows the size of the list: at the target
-// a node hears of many changes.
+// Guards against list changes whose garbage grows with the size of the list: at the target a node hears of many changes.
 func TestScaleChangeAllocatesTheSameAtEachSize(t *testing.T) {
 	const changes = 32
 	perChange := func(servers int) float64 {
@@ -452,14 +455,14 @@
 			}
 		}) / changes
 	}
-	// A line costs some hundreds of bytes at most; the test leaves room for a slice that grows.
+	// An entry costs some hundreds of bytes at most; the bound leaves room for a slice that grows.
 	if small, large := perChange(baseServers), perChange(targetServers); large > 2*small+8192 {
-		t.Errorf("a change of one line allocates %.0f B before %d servers, %.0f B before %d",
+		t.Errorf("a change of one entry allocates %.0f B with %d servers, %.0f B with %d",
 			small, baseServers, large, targetServers)
 	}
 }
 
-// Neither may a request.
+// Guards against requests whose garbage grows with the size of the list.
 func TestScaleRequestAllocatesTheSameAtEachSize(t *testing.T) {
 	const requests = 64
 	perRequest := func(servers int) float64 {
@@ -467,66 +470,68 @@
 		return allocatedBytes(func() { node.serve(requests) }) / requests
 	}
 	if small, large := perRequest(200), perRequest(baseServers); large > 2*small+4096 {
-		t.Errorf("a request allocates %.0f B before 200 servers, %.0f B before %d", small, large, baseServers)
+		t.Errorf("a request allocates %.0f B with 200 servers, %.0f B with %d", small, large, baseServers)
 	}
 }
 
-// A whole list that changes nothing must not make a node build its servers anew.
+// Guards against a node that builds its servers anew for a whole list that changes nothing.
 func TestScaleWholeListAllocatesLessThanTheFirst(t *testing.T) {
 	entries := scaleServers(baseServers)
 	node := newScaleNode(t, scaleSettings(nodesForServers(baseServers), 0))
 	first := allocatedBytes(func() { node.balancer.ListUpdated(node.now, policy.ListWhole, entries) })
 	again := allocatedBytes(func() { node.balancer.ListUpdated(node.now, policy.ListWhole, entries) })
 	if again > first/4 {
-		t.Errorf("the first list allocates %.0f B, the same one again %.0f B", first, again)
+		t.Errorf("the first list allocates %.0f B, the same one again %.0f B, want a quarter or less", first, again)
 	}
 }
 
-// The memory for a server may fall with the size of the list, but not grow.
+// Guards against memory per server that grows with the size of the list.
 func TestScaleMemoryPerServerDoesNotGrow(t *testing.T) {
 	small, large := heapBytesPerServer(t, baseServers), heapBytesPerServer(t, targetServers)
 	if large > 1.25*small {
-		t.Errorf("a server takes %.0f B of %d, %.0f B of %d", small, baseServers, large, targetServers)
+		t.Errorf("%.0f B per server with %d servers, %.0f B with %d", small, baseServers, large, targetServers)
 	}
 }
 
-// memoryForAServer is what a node holds for each server of a list, the list's lines left out.
+// heapBytesPerServer returns the memory that a node holds for each server of a list, beside the list's entries.
 func heapBytesPerServer(t *testing.T, servers int) float64 {
 	t.Helper()
 	return heapBytesForList(t, servers) / float64(servers)
 }
 
+// heapBytesForList returns the memory that a node holds for a list, beside the list's entries.
 func heapBytesForList(t *testing.T, servers int) float64 {
 	t.Helper()
 	entries := scaleServers(servers)
 	settings := scaleSettings(nodesForServers(servers), 0)
-	held := heapBytesOf(func() *scaleNode {
+	heldBytes := heapBytesOf(func() *scaleNode {
 		node := newScaleNode(t, settings)
 		node.balancer.ListUpdated(node.now, policy.ListWhole, entries)
 		return node
 	})
 	runtime.KeepAlive(entries)
-	return held
+	return heldBytes
 }
 
-// Tenants are a slice: a request's cost does not depend on how many there are, and memory is a
-// straight line well inside the budget.
+// Guards against memory for tenants that grows faster than their number or takes too much of the budget. Tenants are a
+// slice, so their memory is proportional to their number.
 func TestScaleTenantsNeedLittleMemory(t *testing.T) {
 	memory := func(tenants int) float64 {
 		settings := scaleSettings(targetNodes, tenants)
-		held := heapBytesOf(func() *scaleNode { return newScaleNode(t, settings) })
+		heldBytes := heapBytesOf(func() *scaleNode { return newScaleNode(t, settings) })
 		runtime.KeepAlive(settings)
-		return held
+		return heldBytes
 	}
 	few, all := memory(targetTenants/16), memory(targetTenants)
 	if all > 1.25*16*few {
-		t.Errorf("%d tenants take %.0f B, 16 times as many %.0f B", targetTenants/16, few, all)
+		t.Errorf("%d tenants need %.0f B, 16 times as many need %.0f B", targetTenants/16, few, all)
 	}
 	if all > targetMemoryBytes/4 {
-		t.Errorf("%d tenants take %.1f MiB, over a quarter of the budget", targetTenants, all/(1<<20))
+		t.Errorf("%d tenants need %.1f MiB, more than a quarter of the budget", targetTenants, all/(1<<20))
 	}
 }
 
+// Guards against a cost of requests that grows with the number of tenants.
 func TestScaleRequestCostDoesNotGrowWithTenants(t *testing.T) {
 	serve := func(tenants int) func() {
 		settings := scaleSettings(nodesForServers(200), tenants)
@@ -544,8 +549,8 @@
 	}
 }
 
-// A list change walks the list: twice the size may cost more than twice as much where the
-// processor's caches end, but the cost must not go with the square of the size.
+// Guards against a cost of whole lists that grows with the square of their size. It may be more than proportional to
+// the size where the list no longer fits into the processor's caches.
 func TestScaleWholeListCostIsNotQuadratic(t *testing.T) {
 	const times = 8
 	list := func(servers, repeats int) func() {
@@ -557,8 +562,8 @@
 			}
 		}
 	}
-	// The same number of lines in small lists and in a large one. The square would be a factor of 8.
+	// The number of entries is the same in several small lists and in a large one. A quadratic cost gives a ratio of 8.
 	if ratio := costRatio(list(baseServers, times), list(baseServers*times, 1)); ratio > 5 {
-		t.Errorf("a line costs %.1f times as much in a list that is %d times as long", ratio, times)
+		t.Errorf("an entry costs %.1f times as much in a list that is %d times as long", ratio, times)
 	}
 }
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -190,7 +190,7 @@
 // of further servers and then refuse at once.
 func TestSubsetThatFailsIsWidenedWithinBounds(t *testing.T) {
 	r := newNodeRunner(t, unboundSettings(), 300, 3, 1, inServiceEntries(1, 1000)...)
-	before := len(r.b.subset)
+	subsetSize := len(r.b.subset)
 	if !r.sendUntilRefused(ms, func(ServerID) bool { return true }) {
 		t.Fatal("no request was refused though all servers fail")
 	}
@@ -198,8 +198,8 @@
 	for _, s := range r.host.sends {
 		tried[s.server] = true
 	}
-	if len(tried) < 2*before || len(tried) > 6*before {
-		t.Errorf("%d servers tried, with a subset of %d", len(tried), before)
+	if len(tried) < 2*subsetSize || len(tried) > 6*subsetSize {
+		t.Errorf("%d servers tried, with a subset of %d", len(tried), subsetSize)
 	}
 }
 
