--- a/policy/admission.go
+++ b/policy/admission.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// loadSignalTarget is the load signal that admission control aims for: the latency of answers as
-	// a share of class.fullLoadLatencySeconds.
+	// loadSignalTarget is the load signal that admission control aims for: a mean latency of answers
+	// of this share of class.fullLoadLatencySeconds.
 	loadSignalTarget = 0.5
 
 	// The load signal is a moving average over loadSignalWindowAnswers answers or over
@@ -20,8 +20,8 @@
 	// admittedIncreasePerSecond is the absolute increase of the admitted share per second, for a load
 	// signal of 0.
 	admittedIncreasePerSecond = 4.0
-	// minAdmittedShare is enough to see when servers recover, and so little that overloaded servers
-	// drain their queues.
+	// minAdmittedShare is large enough to see when servers have recovered, and small enough to leave
+	// overloaded servers nearly idle, without which they do not recover.
 	minAdmittedShare = 0.05
 )
 
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -87,8 +87,8 @@
 			for at-times[first] > rules.OverloadDuration {
 				first++
 			}
-			n := budget(times[first])
-			worstExcess = max(worstExcess, (float64(i-first+1)-n)/(2*math.Sqrt(n)+2))
+			allowed := budget(times[first])
+			worstExcess = max(worstExcess, (float64(i-first+1)-allowed)/(2*math.Sqrt(allowed)+2))
 		}
 		sent += len(times)
 		budgetSum += budget(duration/2) * duration.Seconds() / rules.OverloadDuration.Seconds()
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -62,9 +62,9 @@
 	return now >= s.rejectingUntil && (b.nodesOutnumberServers() || float64(len(s.inFlight)+1) <= limit)
 }
 
-// recordLatency adds the latency of a served request, in seconds, to the means, and to the mean log latency
-// ratio as compared with the unloaded latency of its class at its server. It reports whether that unloaded
-// latency is known yet.
+// recordLatency updates the latency statistics by the latency of a served request, in seconds: the means of its
+// class, the unloaded latency of its server and the mean log latency ratio. It reports whether it updated the
+// last, which needs the reference latency of the class and an unloaded latency of the server.
 func (b *Balancer) recordLatency(a *attempt, r *request, latency float64) bool {
 	s, c := a.server, r.class
 	b.typicalLatencySeconds += (latency - b.typicalLatencySeconds) / 64
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -90,8 +90,8 @@
 // those have to be ready within 10 s.
 func TestNodesThatStartTogetherGetTheList(t *testing.T) {
 	for _, c := range []struct {
-		size, started int
-		within        time.Duration
+		fleetSize, started int
+		within             time.Duration
 	}{
 		{300, 1, 3 * time.Second},
 		{300, 30, 3 * time.Second},
@@ -100,10 +100,10 @@
 		{900, 630, 8 * time.Second},
 	} {
 		for _, seed := range fleetSeeds {
-			took, calls := startFleet(t, c.size, c.started, seed,
+			took, calls := startFleet(t, c.fleetSize, c.started, seed,
 				sequentialDiscovery{callDuration: changesCallDuration, maxWait: changesCallMaxWait}, c.within)
 			if calls > c.started*3/2 {
-				t.Errorf("%d calls until %d nodes of a fleet of %d had a watch after %v, want half as many more than nodes at most", calls, c.started, c.size, took)
+				t.Errorf("%d calls until %d nodes of a fleet of %d had a watch after %v, want 1.5 per started node at most", calls, c.started, c.fleetSize, took)
 			}
 		}
 	}
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -3,10 +3,10 @@
 import "time"
 
 const (
-	failuresToOpen      = 5                // consecutive failures that open a breaker
-	failureWindow       = 60 * time.Second // the window that these failures have to fall in
-	initialOpenDuration = 2 * time.Second  // the time after which an open breaker turns half-open
-	maxOpenDuration     = 30 * time.Second // the limit of this time, which doubles with each failed trial
+	failuresToOpen      = 5                // number of consecutive failures that open a breaker
+	failureWindow       = 60 * time.Second // window in which these failures have to occur
+	initialOpenDuration = 2 * time.Second  // time until an open breaker turns half-open, doubled by each failed trial
+	maxOpenDuration     = 30 * time.Second // longest time until an open breaker turns half-open
 )
 
 // BreakerState is the state of a server's circuit breaker.
--- a/policy/subset.go
+++ b/policy/subset.go
@@ -18,7 +18,7 @@
 	// minUsableSubsetShare is the share of its target size that a subset needs in servers with closed
 	// breakers, counted by capacity share; one with less is widened.
 	minUsableSubsetShare = 1.0 / 3
-	// maxSubsetWidening limits by how many times a subset is widened for failing servers.
+	// maxSubsetWidening is the factor at which a subset is widened no further because its servers fail.
 	maxSubsetWidening = 4
 )
 
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -32,8 +32,8 @@
 	return r
 }
 
-// unboundSettings returns settings without a class whose repeats are bound to a group of servers.
-func unboundSettings() Settings {
+// settingsWithoutDedup returns settings without a class whose repeats are bound to a group of servers.
+func settingsWithoutDedup() Settings {
 	settings := testSettings()
 	settings.Classes = settings.Classes[:1]
 	settings.Limits.AllowHedging = false
@@ -63,7 +63,7 @@
 
 func TestSmallFleetsUseAllServers(t *testing.T) {
 	for _, c := range []struct{ nodes, servers int }{{1, 3}, {3, 200}, {minNodesPerServer, 200}, {300, minSubsetSize}} {
-		for _, r := range newFleetRunners(t, unboundSettings(), c.nodes, inServiceEntries(1, c.servers)...) {
+		for _, r := range newFleetRunners(t, settingsWithoutDedup(), c.nodes, inServiceEntries(1, c.servers)...) {
 			if n := len(r.b.subset); n != c.servers {
 				t.Errorf("%d nodes: the subset of one has %d of %d servers, want all", c.nodes, n, c.servers)
 			}
@@ -75,7 +75,7 @@
 // any other.
 func TestEachServerHasTheSameNumberOfNodes(t *testing.T) {
 	for _, c := range []struct{ nodes, servers int }{{64, 100}, {300, 160}, {301, 200}, {640, 400}} {
-		count := nodesByServer(newFleetRunners(t, unboundSettings(), c.nodes, inServiceEntries(1, c.servers)...))
+		count := nodesByServer(newFleetRunners(t, settingsWithoutDedup(), c.nodes, inServiceEntries(1, c.servers)...))
 		least, most := c.nodes, 0
 		for id := ServerID(1); id <= ServerID(c.servers); id++ {
 			least, most = min(least, count[id]), max(most, count[id])
@@ -92,7 +92,7 @@
 // Guards against list changes that move nodes between servers that are not changed.
 func TestListChangeMovesOnlyTheNodesOfItsServers(t *testing.T) {
 	const nodes, servers = 200, 120
-	fleet := newFleetRunners(t, unboundSettings(), nodes, inServiceEntries(1, servers)...)
+	fleet := newFleetRunners(t, settingsWithoutDedup(), nodes, inServiceEntries(1, servers)...)
 	before := make([][]ServerID, nodes)
 	for i, r := range fleet {
 		before[i] = r.subsetIDs()
@@ -122,8 +122,8 @@
 	reversed := slices.Clone(list)
 	slices.Reverse(reversed)
 	for nodeIndex := range 50 {
-		first := newNodeRunner(t, unboundSettings(), 300, nodeIndex, 1, list...).subsetIDs()
-		again := newNodeRunner(t, unboundSettings(), 300, nodeIndex, 2, reversed...).subsetIDs()
+		first := newNodeRunner(t, settingsWithoutDedup(), 300, nodeIndex, 1, list...).subsetIDs()
+		again := newNodeRunner(t, settingsWithoutDedup(), 300, nodeIndex, 2, reversed...).subsetIDs()
 		if !slices.Equal(first, again) {
 			t.Fatalf("node %d: subset %v after a restart, %v before it", nodeIndex, again, first)
 		}
@@ -132,8 +132,8 @@
 
 // Guards against a subset that depends on whether the list came whole or as changes.
 func TestSubsetFollowsChangesAsItFollowsWholeLists(t *testing.T) {
-	whole := newNodeRunner(t, unboundSettings(), 300, 5, 1, inServiceEntries(1, 160)...)
-	changes := newNodeRunner(t, unboundSettings(), 300, 5, 1, inServiceEntries(1, 2)...)
+	whole := newNodeRunner(t, settingsWithoutDedup(), 300, 5, 1, inServiceEntries(1, 160)...)
+	changes := newNodeRunner(t, settingsWithoutDedup(), 300, 5, 1, inServiceEntries(1, 2)...)
 	for id := 3; id <= 160; id++ {
 		changes.deliverList(ListChanges, inServiceEntries(id, id)...)
 	}
@@ -152,7 +152,7 @@
 // the node's load, so that each server gets enough attempts for that within outcomeWindow.
 func TestSubsetFollowsTheLoad(t *testing.T) {
 	for _, requestsPerSecond := range []int{2, 20, 60} {
-		r := newNodeRunner(t, unboundSettings(), 300, 3, 1, inServiceEntries(1, 1000)...)
+		r := newNodeRunner(t, settingsWithoutDedup(), 300, 3, 1, inServiceEntries(1, 1000)...)
 		for range 3 * 10 * requestsPerSecond {
 			id := r.sendRequest(0)
 			r.advance(time.Second / time.Duration(requestsPerSecond))
@@ -189,7 +189,7 @@
 // Guards against a node that tries all servers of a large fleet when its subset fails: it has to try a bounded number
 // of further servers and then refuse at once.
 func TestSubsetThatFailsIsWidenedWithinBounds(t *testing.T) {
-	r := newNodeRunner(t, unboundSettings(), 300, 3, 1, inServiceEntries(1, 1000)...)
+	r := newNodeRunner(t, settingsWithoutDedup(), 300, 3, 1, inServiceEntries(1, 1000)...)
 	subsetSize := len(r.b.subset)
 	if !r.sendUntilRefused(ms, func(ServerID) bool { return true }) {
 		t.Fatal("no request was refused though all servers fail")
@@ -206,12 +206,12 @@
 // Guards against a node that refuses requests when all servers of its subset fail or drain, while others of the fleet
 // are healthy.
 func TestNodeUsesOtherServersWhenItsSubsetFails(t *testing.T) {
-	r := newNodeRunner(t, unboundSettings(), 300, 3, 1, inServiceEntries(1, 1000)...)
+	r := newNodeRunner(t, settingsWithoutDedup(), 300, 3, 1, inServiceEntries(1, 1000)...)
 	subset := r.subsetIDs()
 	if r.sendUntilRefused(20*ms, func(id ServerID) bool { return slices.Contains(subset, id) }) {
 		t.Error("a request was refused though most servers of the fleet are healthy")
 	}
-	drained := newNodeRunner(t, unboundSettings(), 300, 3, 1, inServiceEntries(1, 1000)...)
+	drained := newNodeRunner(t, settingsWithoutDedup(), 300, 3, 1, inServiceEntries(1, 1000)...)
 	var entries []Entry
 	for _, id := range subset {
 		entries = append(entries, Entry{Server: id, State: StateDraining})
@@ -235,7 +235,7 @@
 		list[i].Zone = i % zones
 	}
 	isLost := func(id ServerID) bool { return (int(id)-1)%zones == 0 }
-	for nodeIndex, r := range newFleetRunners(t, unboundSettings(), 300, list...) {
+	for nodeIndex, r := range newFleetRunners(t, settingsWithoutDedup(), 300, list...) {
 		if nodeIndex%10 != 0 {
 			continue
 		}
@@ -300,7 +300,7 @@
 func TestFleetAvoidsFailingServersWithinSeconds(t *testing.T) {
 	const nodes, servers, failing = 300, 160, 8
 	const step, requestsPerSecond = 20 * ms, 10.0
-	fleet := newFleetRunners(t, unboundSettings(), nodes, inServiceEntries(1, servers)...)
+	fleet := newFleetRunners(t, settingsWithoutDedup(), nodes, inServiceEntries(1, servers)...)
 	sent, failed := make([]float64, 4), make([]float64, 4)
 	for at := time.Duration(0); at < 20*time.Second; at += step {
 		for i, r := range fleet {
