--- a/internal/node/call_log.go
+++ b/internal/node/call_log.go
@@ -10,23 +10,24 @@
 	"otterstep/policy"
 )
 
-// failuresEvery is the time between two lines of calls that fail in a row, below the debug level.
+// failureLogInterval is the shortest time between two lines about consecutive failed calls at the info level.
 const failureLogInterval = time.Second
 
-// callLog writes what happens to calls to discovery.
+// callLog logs what happens to calls to discovery.
 type callLog struct {
 	logger           *slog.Logger
-	partialListLines *atomic.Int64 // that counted though their answer was not taken whole
+	partialListLines *atomic.Int64 // counts entries that took effect although their answer was not accepted as a whole
 
-	failing          bool // the latest call came to nothing,
-	unusableSeen     bool // an answer among them could not be taken,
-	lateSeen         bool // a call is late
-	unloggedFailures int  // since the last line of them
+	failing          bool // the latest call failed
+	unusableSeen     bool // an answer was unusable since the last good one
+	lateSeen         bool // a call was late since the last good answer
+	unloggedFailures int  // failed calls since the last line about them
 	failureLoggedAt  time.Time
 }
 
-// began logs that a call begins: those that go on with a watch or repeat a failure at the debug level,
-// and the first one in a row that is late at any.
+// callStarted logs the start of a call. The first call of the node, the first call to another address and the first
+// call that is made because another one is late are logged at the info level. Calls that continue a watch or repeat a
+// failed call are logged at the debug level.
 func (g *callLog) callStarted(call *listCall, addr string) {
 	level := slog.LevelDebug
 	switch {
@@ -38,8 +39,8 @@
 		"since", call.since, "whole", call.wantsWhole, "wait", call.WaitForChanges, "addr", addr)
 }
 
-// failed logs a call that came to nothing: the first one of a kind at once, and then one a second with
-// the number since.
+// callFailed logs a failed call: the first one of a kind at once, and then at most one line a second with the
+// number of failures since the last line.
 func (g *callLog) callFailed(call *listCall, err error, version int64) {
 	now := time.Now()
 	took := now.Sub(call.startedAt)
@@ -49,24 +50,25 @@
 	switch isUnusable := errors.As(err, &unusable); {
 	case !g.failing, isUnusable && !g.unusableSeen:
 		g.failing, g.unusableSeen = true, g.unusableSeen || isUnusable
-		g.logger.Warn("no word from discovery, keeping the list", "rev", version, "took", took, "err", err)
+		g.logger.Warn("no usable answer from discovery, keeping the list", "rev", version, "took", took, "err", err)
 	case now.Sub(g.failureLoggedAt) >= failureLogInterval:
-		g.logger.Info("calls to discovery fail", "failures", g.unloggedFailures, "took", took, "err", err)
+		g.logger.Info("calls to discovery keep failing", "failures", g.unloggedFailures, "took", took, "err", err)
 	default:
 		return
 	}
 	g.unloggedFailures, g.failureLoggedAt = 0, now
 }
 
-// answered logs that discovery is there again and makes sense.
+// callAnswered logs that discovery answers again after failed, unusable or late calls.
 func (g *callLog) callAnswered(version int64) {
 	if g.failing || g.lateSeen {
-		g.logger.Info("discovery is back", "rev", version)
+		g.logger.Info("discovery answers again", "rev", version)
 	}
 	g.failing, g.unusableSeen, g.lateSeen, g.unloggedFailures = false, false, false, 0
 }
 
-// taken logs a list that the node goes by from now on: who said it, what, and how long ago it was read.
+// listAccepted logs a list that the node follows from now on, with its source, its version and the time since it
+// was read.
 func (g *callLog) listAccepted(list serverList, addr string) {
 	inService := 0
 	for _, entry := range list.entries {
@@ -78,9 +80,10 @@
 		"read_ago", time.Since(list.readAt))
 }
 
-// leaving logs lines that count though their answer is not whole, or can't be taken otherwise.
+// outOfServiceAccepted logs entries that take effect although their answer is incomplete or cannot be accepted
+// otherwise.
 func (g *callLog) outOfServiceAccepted(list serverList, call *listCall, version int64) {
 	g.partialListLines.Add(int64(len(list.entries)))
-	g.logger.Debug("servers taken out of service by an answer that is not taken whole", "call", call.ID, "rev", version,
+	g.logger.Debug("servers taken out of service by an answer that is not accepted as a whole", "call", call.ID, "rev", version,
 		"lines", len(list.entries), "read_ago", time.Since(list.readAt))
 }
--- a/internal/node/call_orders.go
+++ b/internal/node/call_orders.go
@@ -6,37 +6,37 @@
 	"otterstep/policy"
 )
 
-// callOrder is what the module wants done: a call, or the end of one.
+// callCommand tells the discovery client to make a call, or to abandon one.
 type callCommand struct {
 	call     policy.Call
-	abandons bool
+	abandons bool // the call is to be abandoned
 }
 
-// callOrders hands orders from the loop, which must not wait, to discovery.
+// callQueue passes commands from the loop, which must not wait, to the discovery client.
 type callQueue struct {
 	mu        sync.Mutex
 	queue     []callCommand
-	available chan struct{} // room for one: there are some
+	available chan struct{} // holds a value while commands are queued; its capacity is 1
 }
 
 func newCallQueue() *callQueue { return &callQueue{available: make(chan struct{}, 1)} }
 
-// add queues an order; it never blocks.
-func (o *callQueue) add(command callCommand) {
-	o.mu.Lock()
-	o.queue = append(o.queue, command)
-	o.mu.Unlock()
+// add queues a command. It never blocks.
+func (q *callQueue) add(command callCommand) {
+	q.mu.Lock()
+	q.queue = append(q.queue, command)
+	q.mu.Unlock()
 	select {
-	case o.available <- struct{}{}:
+	case q.available <- struct{}{}:
 	default:
 	}
 }
 
-// take gives the orders so far.
-func (o *callQueue) takeAll() []callCommand {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	commands := o.queue
-	o.queue = nil
+// takeAll removes and returns the queued commands.
+func (q *callQueue) takeAll() []callCommand {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	commands := q.queue
+	q.queue = nil
 	return commands
 }
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -19,33 +19,35 @@
 )
 
 const (
-	// pollWait is how long discovery is asked to wait for changes where none are waited for.
+	// minWatchWait is the time for which discovery is asked to wait for changes by a call that wants an answer
+	// at once.
 	minWatchWait = time.Millisecond
 
-	// callPatience is how long a call is left out, beyond the time that discovery is asked to wait, for
-	// its answer to begin, and how long an answer that has begun may pause. The module calls anew long
-	// before: this only ends what will never be answered.
+	// callResponseTimeout bounds the time until an answer begins, beyond the time for which discovery is asked
+	// to wait, and each pause of an answer that has begun. The module makes another call long before that, so
+	// this only ends calls that will never be answered.
 	callResponseTimeout = 30 * time.Second
-	callConnectTimeout  = 10 * time.Second // for its connection to come up
-	callIdleTimeout     = 30 * time.Second // a connection rests for so long, as one to an address of before
+	callConnectTimeout  = 10 * time.Second // limit on connecting to discovery
+	callIdleTimeout     = 30 * time.Second // limit on an idle connection, such as one to a former address
 
-	// lastWords is how long a call that is given up is still read: what discovery has written by then
-	// counts as told.
+	// abandonedReadTimeout is the time for which the answer to an abandoned call is still read: what discovery
+	// has written by then counts as told to this node.
 	abandonedReadTimeout = 50 * time.Millisecond
-	// answerRest is how long the end of an answer is waited for behind a message that is whole, so that
-	// its connection may be used again.
+	// bodyEndTimeout is the time that the body of an answer may take to end after its message is complete.
+	// Only a body that has ended leaves a connection that can be reused.
 	bodyEndTimeout = 200 * time.Millisecond
-	// restingMost bounds the connections that wait so; each holds a descriptor.
+	// maxCallsAwaitingBodyEnd bounds the calls that wait for the end of a body, as each holds a descriptor.
 	maxCallsAwaitingBodyEnd = 4
 )
 
-// hostList is discovery's list of servers or the changes to it.
+// listMessage is a message of discovery: the whole list of servers or changes to it.
 type listMessage struct {
 	Version int64       `json:"rev"`
 	IsWhole bool        `json:"all"`
 	Entries []listEntry `json:"targets"`
 }
 
+// listEntry is the entry of one server in a listMessage.
 type listEntry struct {
 	UID          string  `json:"uid"`
 	Endpoint     string  `json:"endpoint"`
@@ -56,34 +58,34 @@
 	BootMs       int64   `json:"boot_ms"`
 }
 
-// discovery carries out the module's calls for the list, several at a time, and keeps the version that the
-// node has: answers come in any order, and one of an older version says nothing new.
+// discoveryClient makes the module's calls to discovery, several at a time, and keeps the version of the list
+// that the node has. Answers arrive in any order, and one of an older version brings nothing new.
 type discoveryClient struct {
 	addr            string
 	zones           []string
 	clock           clock
 	responseTimeout time.Duration
 	callLog         *callLog
-	onList          func(news listUpdate)               // hands a list on
-	onCallEnd       func(end policy.CallEnd)            // tells the module of the end of a call
-	onCallProgress  func(id policy.CallID, bytes int64) // and of the bytes of its answer so far
+	onList          func(update listUpdate)             // receives each list, and changes to it
+	onCallEnd       func(end policy.CallEnd)            // tells the module that a call has ended
+	onCallProgress  func(id policy.CallID, bytes int64) // tells the module how many bytes of an answer have arrived
 	gate            *sendGate
 
 	client          http.Client
 	commands        *callQueue
-	addrChanges     chan string // new addresses of discovery
+	addrChanges     chan string // new addresses of discovery, for run
 	replies         chan callReply
 	callsInFlight   map[policy.CallID]*listCall
-	awaitingBodyEnd []*listCall // the latest whose answers were whole before their end had come
+	awaitingBodyEnd []*listCall // calls with a complete message whose body has not ended, oldest first
 
-	source     policy.SourceID // of the versions
+	source     policy.SourceID // discovery service that counts the versions
 	version    int64
-	hasVersion bool      // rev is discovery's own
-	epoch      int       // of its versions; those of another one say nothing
-	acceptedAt time.Time // when rev was heard
+	hasVersion bool      // version comes from the present source
+	epoch      int       // count of discarded versions; answers to calls of an earlier epoch are rejected
+	acceptedAt time.Time // time at which version was accepted
 }
 
-// listNews is what discovery says of servers; endpoints go with the entries.
+// listUpdate is what discovery says about servers. Each entry has an endpoint at the same index.
 type listUpdate struct {
 	kind      policy.ListKind
 	origin    policy.Origin
@@ -91,41 +93,42 @@
 	endpoints []string
 }
 
-// listCall is a call that is out.
+// listCall is a call in flight.
 type listCall struct {
 	policy.Call
 	source          policy.SourceID
-	wantsWhole      bool  // it asks for the whole list
-	since           int64 // or else for what is newer than this version
-	epoch           int
+	wantsWhole      bool  // the call asks for the whole list
+	since           int64 // version since which a call for changes asks
+	epoch           int   // epoch of the client when the call began
 	startedAt       time.Time
 	cancel          context.CancelFunc
-	deliver         func(callReply) // hands on what comes of it
-	answerDelivered bool            // its answer was handed on before its end; for fetch alone
+	deliver         func(callReply) // passes a reply to run
+	answerDelivered bool            // the answer was passed on before its body ended; only fetch uses this
 }
 
-// callReply is what came of a call.
+// callReply is what a call has brought: a part of its answer, the whole answer or an error.
 type callReply struct {
 	call           *listCall
 	list           serverList
-	answerBytes    int64 // of the answer
+	answerBytes    int64 // size of the answer
 	err            error
-	isPartial      bool // the list holds lines of an answer that is not whole yet, and more will come
-	allEntriesRead bool // it is a whole list, and all of its lines have come
-	versionUnknown bool // their version is not known yet
-	awaitsBodyEnd  bool // the answer is whole, and the end of its framing has not come
+	isPartial      bool // the list holds entries of an answer that goes on
+	allEntriesRead bool // the answer is a whole list, and all of its entries have been read
+	versionUnknown bool // the version of the entries has not been read yet
+	awaitsBodyEnd  bool // the message is complete, and the body has not ended
 
-	reopenGate func() // the gate, which is shut since then to servers that the list takes out of service
+	reopenGate func() // opens the gate again for the servers that the list takes out of service
 }
 
-// namesAll tells whether the servers are out of service that the reply does not name.
+// namesAllServers reports whether servers that the reply does not name are out of service.
 func (r *callReply) namesAllServers() bool {
 	return r.err == nil && r.list.isWhole && (!r.isPartial || r.allEntriesRead)
 }
 
-func newDiscoveryClient(addr string, site wire.NodeSettings, c clock, log *slog.Logger) *discoveryClient {
+// newDiscoveryClient returns a client of the discovery service at an address. It does nothing until run is called.
+func newDiscoveryClient(addr string, settings wire.NodeSettings, c clock, log *slog.Logger) *discoveryClient {
 	return &discoveryClient{
-		addr: addr, source: sourceID(addr), gate: newSendGate(), zones: site.ZoneNames, clock: c, responseTimeout: callResponseTimeout, callLog: &callLog{logger: log, partialListLines: new(atomic.Int64)},
+		addr: addr, source: sourceID(addr), gate: newSendGate(), zones: settings.ZoneNames, clock: c, responseTimeout: callResponseTimeout, callLog: &callLog{logger: log, partialListLines: new(atomic.Int64)},
 		client: http.Client{
 			Transport: &http.Transport{
 				DialContext: tcpDialer(callConnectTimeout).dialContext, MaxIdleConnsPerHost: 1, IdleConnTimeout: callIdleTimeout,
@@ -138,12 +141,12 @@
 	}
 }
 
-// follow has the list and the ends of calls handed on to a loop. It waits until they are in place: the
-// module hears of the end of a call behind the list that it brought.
+// attachTo makes the client pass lists and the ends of calls to a loop. Each waits until the loop has handled
+// it, so the module learns of the end of a call after the list that the call brought.
 func (d *discoveryClient) attachTo(l *loop) {
 	d.gate = l.gate
-	d.onList = func(news listUpdate) {
-		l.postAndWait(func() { l.applyListUpdate(news) })
+	d.onList = func(update listUpdate) {
+		l.postAndWait(func() { l.applyListUpdate(update) })
 	}
 	d.onCallEnd = func(end policy.CallEnd) {
 		l.postAndWait(func() { l.balancer.CallEnded(l.now, end) })
@@ -153,8 +156,9 @@
 	}
 }
 
-// start hands on the list that this node last had. Where it is a whole one, what has changed since is
-// asked for: whole lists, called for by all nodes at once, would keep discovery busy for seconds.
+// start publishes the list that this node last had. If the list comes on request and the known one is whole,
+// the first call asks for the changes since: whole lists, requested by all nodes at once, would keep discovery
+// busy for seconds.
 func (d *discoveryClient) start(known listMessage, onRequest bool) {
 	var list serverList
 	for _, entry := range known.Entries {
@@ -166,12 +170,12 @@
 	d.publish(policy.ListCached, policy.Origin{Source: d.source, Version: known.Version}, list)
 }
 
-// tell hands on what discovery says.
+// publish passes on what discovery says about servers.
 func (d *discoveryClient) publish(kind policy.ListKind, origin policy.Origin, list serverList) {
 	d.onList(listUpdate{kind: kind, origin: origin, entries: list.entries, endpoints: list.endpoints})
 }
 
-// run carries out calls until ctx ends.
+// run executes the commands of the module and applies the replies to its calls until ctx ends.
 func (d *discoveryClient) run(ctx context.Context) {
 	defer d.abandonAll()
 	for {
@@ -191,7 +195,7 @@
 	}
 }
 
-// move makes run go on at another address.
+// requestAddrChange makes run continue at another address.
 func (d *discoveryClient) requestAddrChange(ctx context.Context, addr string) {
 	select {
 	case d.addrChanges <- addr:
@@ -199,7 +203,7 @@
 	}
 }
 
-// settle goes on at another address, which counts versions of its own.
+// changeAddr continues at another address, which counts its own versions.
 func (d *discoveryClient) changeAddr(addr string) {
 	d.abandonAll()
 	d.addr, d.source, d.version = addr, sourceID(addr), 0
@@ -207,7 +211,7 @@
 	d.publish(policy.ListAddressChanged, policy.Origin{}, serverList{})
 }
 
-// leave gives up all calls that are out.
+// abandonAll abandons all calls in flight.
 func (d *discoveryClient) abandonAll() {
 	for id := range d.callsInFlight {
 		d.abandon(id)
@@ -215,7 +219,7 @@
 	d.client.CloseIdleConnections()
 }
 
-// giveUp ends a call. Of what still comes of it only what takes servers out of service counts.
+// abandon ends a call. Of what it still brings, only what takes servers out of service counts.
 func (d *discoveryClient) abandon(id policy.CallID) {
 	if call := d.callsInFlight[id]; call != nil {
 		time.AfterFunc(abandonedReadTimeout, call.cancel)
@@ -223,14 +227,14 @@
 	}
 }
 
-// loseVersion has the next call ask for the whole list. What comes of those that are out can't be added
-// to any.
+// discardVersion makes the next call ask for the whole list. The calls in flight then bring changes to a list
+// that the node no longer follows, so their answers are rejected.
 func (d *discoveryClient) discardVersion() {
 	d.hasVersion = false
 	d.epoch++
 }
 
-// obey carries out what the module wants.
+// execute starts or abandons a call for the module.
 func (d *discoveryClient) execute(ctx context.Context, command callCommand) {
 	if command.abandons {
 		d.abandon(command.call.ID)
@@ -253,8 +257,8 @@
 	}()
 }
 
-// deliver hands a reply to run, also one of a call that has ended meanwhile: it was written before. However long
-// run is busy, no request goes out from now on to servers that the reply takes out of service.
+// deliver passes a reply to run, even if its call has ended in the meantime, as discovery wrote the reply before
+// that. From now on no request goes to servers that the reply takes out of service, however long run is busy.
 func (d *discoveryClient) deliver(runCtx context.Context, reply callReply) {
 	reply.list.readAt = time.Now()
 	reply.reopenGate = d.gate.closeFor(reply.list.entries, reply.namesAllServers())
@@ -265,7 +269,7 @@
 	}
 }
 
-// address is what a call gets.
+// callURL returns the URL that a call requests.
 func (d *discoveryClient) callURL(call *listCall) url.URL {
 	callURL := url.URL{Scheme: "http", Host: d.addr, Path: "/discovery/hosts"}
 	if !call.wantsWhole {
@@ -275,7 +279,7 @@
 	return callURL
 }
 
-// statusError tells that discovery has answered with another status than 200.
+// statusError reports an answer of discovery with a status other than 200.
 type statusError struct {
 	code   int
 	status string
@@ -283,13 +287,14 @@
 
 func (e *statusError) Error() string { return "status " + e.status }
 
-// unusableError tells that discovery has answered, and that its answer can't be taken.
+// unusableError reports an answer of discovery that cannot be used.
 type unusableError struct{ err error }
 
 func (e *unusableError) Error() string { return e.err.Error() }
 func (e *unusableError) Unwrap() error { return e.err }
 
-// fetch makes a call and reads its answer; it touches nothing of d that changes.
+// fetch makes a call and reads its answer. It runs on a goroutine of its own and uses only fields of the client
+// that do not change.
 func (d *discoveryClient) fetch(ctx context.Context, call *listCall, callURL url.URL) callReply {
 	reply := callReply{call: call}
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -313,8 +318,8 @@
 		return reply
 	}
 	reply.list, err = streamList(reader.wrap(resp.Body), d.zones, d.clock, listCallbacks{
-		onOutOfService: func(lines serverList, versionKnown bool) {
-			call.deliver(callReply{call: call, list: lines, isPartial: true, versionUnknown: !versionKnown})
+		onOutOfService: func(found serverList, versionKnown bool) {
+			call.deliver(callReply{call: call, list: found, isPartial: true, versionUnknown: !versionKnown})
 		},
 		onAllEntries: func(list serverList) {
 			call.deliver(callReply{call: call, list: list, isPartial: true, allEntriesRead: true})
@@ -332,10 +337,10 @@
 	return reply
 }
 
-// replied takes what came of a call, and tells the module.
+// applyReply applies a reply. If the reply ends its call, the module is told.
 func (d *discoveryClient) applyReply(reply callReply) {
 	call := reply.call
-	if reply.isPartial || d.callsInFlight[call.ID] != call { // more of it will come, or it was given up meanwhile
+	if reply.isPartial || d.callsInFlight[call.ID] != call { // the answer goes on, or the call was abandoned
 		d.acceptOutOfService(outOfServiceKind(&reply), reply)
 		return
 	}
@@ -353,7 +358,7 @@
 	}
 	var status *statusError
 	if errors.As(reply.err, &status) && status.code/100 == 4 && call.epoch == d.epoch {
-		d.discardVersion() // discovery does not know it: start over
+		d.discardVersion() // discovery does not know the version that the call named
 	}
 	callEnd := policy.CallEnd{ID: call.ID, Result: policy.CallAnswered, UnusableBytes: reply.answerBytes}
 	var unusable *unusableError
@@ -375,7 +380,8 @@
 	d.onCallEnd(callEnd)
 }
 
-// rest leaves the end of an answer time to come; the oldest of several that are waited for is given up.
+// awaitBodyEnd leaves the body of an answer time to end. Beyond maxCallsAwaitingBodyEnd, the oldest call that
+// waits is cancelled.
 func (d *discoveryClient) awaitBodyEnd(call *listCall) {
 	if d.awaitingBodyEnd = append(d.awaitingBodyEnd, call); len(d.awaitingBodyEnd) > maxCallsAwaitingBodyEnd {
 		d.awaitingBodyEnd[0].cancel()
@@ -383,12 +389,13 @@
 	}
 }
 
-// check tells why an answer can't be taken. One that goes back behind the version that the node had when
-// it was asked for comes from a discovery that counts anew, or once more from before.
+// validate returns an error if an answer cannot be accepted. An answer of an earlier version than the node had
+// when it made the call comes from a discovery that has restarted its count of versions, or is a repeated old
+// answer.
 func (d *discoveryClient) validate(call *listCall, list serverList) error {
 	switch {
 	case call.epoch != d.epoch:
-		return errors.New("list: the version that it counts from is lost")
+		return errors.New("list: the call began before the node discarded its version")
 	case call.wantsWhole && !list.isWhole:
 		return &unusableError{errors.New("list: changes in place of the whole list")}
 	case d.versionRegressed(call, list):
@@ -398,7 +405,8 @@
 	return nil
 }
 
-// takeLeaving hands on what an answer takes out of service that is not whole, or can't be taken otherwise.
+// acceptOutOfService publishes what takes servers out of service in an answer that is incomplete or that cannot be
+// accepted otherwise.
 func (d *discoveryClient) acceptOutOfService(kind policy.ListKind, reply callReply) {
 	list, call := reply.list, reply.call
 	superseded := call.source == d.source && d.hasVersion && list.version < d.version && call.startedAt.Before(d.acceptedAt) &&
@@ -414,7 +422,8 @@
 	d.publish(kind, origin, list)
 }
 
-// unusableKind is how an answer counts that can't be taken: what a whole list does not name is out too.
+// outOfServiceKind returns the kind of update that an answer gives if only what takes servers out of service
+// counts. A whole list also takes out the servers that it does not name.
 func outOfServiceKind(reply *callReply) policy.ListKind {
 	if reply.namesAllServers() {
 		return policy.ListOutdated
@@ -422,13 +431,14 @@
 	return policy.ListPartial
 }
 
-// goesBack tells whether an answer is of an earlier version than its call asked from, or than the node had then.
+// versionRegressed reports whether an answer is of an earlier version than the one since which its call asked, or
+// than the one that the node had when the call began.
 func (d *discoveryClient) versionRegressed(call *listCall, list serverList) bool {
 	return d.hasVersion && (!call.wantsWhole && list.version < call.since || call.startedAt.After(d.acceptedAt) && list.version < d.version)
 }
 
-// take hands on what an answer says, unless a later version has come meanwhile. It tells whether there
-// was something.
+// accept publishes an answer, unless a later version has been accepted in the meantime. It reports whether the
+// answer brought a new version.
 func (d *discoveryClient) accept(list serverList) (changed bool) {
 	if d.hasVersion && list.version < d.version {
 		return false
@@ -446,7 +456,7 @@
 	return changed
 }
 
-// logChanges logs the first few changed servers, and how many more there are.
+// logChanges logs the first few changed servers and the number of further ones.
 func (d *discoveryClient) logChanges(list serverList) {
 	for _, entry := range list.firstEntries {
 		d.callLog.logger.Info("server", "uid", entry.UID, "endpoint", entry.Endpoint, "state", entry.State, "boot_ms", entry.BootMs)
@@ -456,7 +466,7 @@
 	}
 }
 
-// listError words why a call failed: its time limit, if that was it.
+// callError describes why a call failed. If the context has a cause, such as a time limit, that is the reason.
 func callError(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil {
 		err = cause
@@ -464,14 +474,14 @@
 	return fmt.Errorf("list: %w", err)
 }
 
-// The words for a server's state.
+// The states of a server as discovery writes them.
 const (
 	stateInService   = "in_service"
 	stateTerminating = "terminating"
 	stateTerminated  = "terminated"
 )
 
-// state reads a word for a server's state. One that is new to us gets no new work.
+// parseState converts discovery's name of a server's state. A server in an unknown state gets no new work.
 func parseState(name string) policy.ServerState {
 	switch name {
 	case stateInService:
@@ -482,15 +492,15 @@
 	return policy.StateDraining
 }
 
-// serverID names a server to the module: the same for a uid at all times, so
-// nothing has to be remembered for servers that come and go.
+// serverID returns the module's id of a server. It depends on the uid alone, so the node keeps no table of servers
+// that come and go.
 func serverID(uid string) policy.ServerID {
 	h := fnv.New64a()
 	io.WriteString(h, uid)
 	return policy.ServerID(h.Sum64())
 }
 
-// sourceID names a discovery service to the module: the same for an address at all times.
+// sourceID returns the module's id of a discovery service. It depends on the address alone.
 func sourceID(addr string) policy.SourceID {
 	h := fnv.New64a()
 	io.WriteString(h, addr)
