--- a/internal/node/list.go
+++ b/internal/node/list.go
@@ -15,23 +15,24 @@
 )
 
 const (
-	// maxListServers is the number of servers that a list may name. It is a bound on
-	// what a broken discovery can make a node read and keep, far above any list in use.
+	// maxListServers is the largest number of servers that a list may name. It bounds what a broken discovery
+	// can make a node read and keep, and is far above the size of any list in use.
 	maxListServers = 256 << 10
-	// maxListBytes bounds the text of one message of discovery: 512 bytes a server, where
-	// a line in service takes about 145, and more if it is indented.
+	// maxListBytes bounds the text of one message of discovery: 512 bytes for each server, whose entry takes
+	// about 145 bytes, and more if it is indented.
 	maxListBytes = maxListServers * 512
-	// maxListValue bounds the text of one value of a message, such as one server: the
-	// decoder holds a value as a whole.
+	// maxListValueBytes bounds the text of one value of a message, such as the entry of one server, because the
+	// decoder holds the whole value in memory.
 	maxListValueBytes = 1 << 20
-	// maxListDepth is how deeply values may be nested, as for json.Unmarshal.
-	maxListDepth    = 10000
+	// maxListDepth is the largest depth of nested values, the same as that of json.Unmarshal.
+	maxListDepth = 10000
+	// readBufferBytes is the size of the buffer between the body and the decoder.
 	readBufferBytes = 64 << 10
-	// linesKept are the first lines of a message that are kept as they came, for the log.
+	// maxLoggedServers bounds the servers of a message that are logged one by one.
 	maxLoggedServers = 8
 )
 
-// listTooLargeError tells that a message of discovery is over one of the bounds.
+// listTooLargeError reports a message of discovery that is over one of the bounds.
 type listTooLargeError struct {
 	limit int
 	unit  string
@@ -39,18 +40,18 @@
 
 func (e *listTooLargeError) Error() string { return fmt.Sprintf("over %d %s", e.limit, e.unit) }
 
-// serverList is a message of discovery in the module's terms: the whole list or changes
-// to it. It holds little for each server, as there may be very many.
+// serverList is a message of discovery in the module's terms: the whole list or changes to it. It holds little
+// for each server, as there may be very many.
 type serverList struct {
 	version      int64
 	isWhole      bool
 	entries      []policy.Entry
-	endpoints    []string    // of the entries
-	firstEntries []listEntry // the first few lines
+	endpoints    []string    // endpoints of the entries, at the same indexes
+	firstEntries []listEntry // first entries as discovery wrote them, for the log
 	readAt       time.Time
 }
 
-// add takes one line in.
+// add appends the entry of one server.
 func (l *serverList) add(entry listEntry, zones []string, c clock) {
 	l.entries = append(l.entries, policy.Entry{
 		Server: serverID(entry.UID), Zone: slices.Index(zones, entry.AZ), Cell: entry.PodGroup,
@@ -62,21 +63,22 @@
 	}
 }
 
-// listProgress is told what a message says before it has ended, whenever more of it is waited for. Discovery
-// counts a change as told once it has written its line, whatever becomes of the rest.
+// listCallbacks report what a message says while more of it is awaited. Discovery counts a change as told once it
+// has written its entry, whatever becomes of the rest of the message.
 type listCallbacks struct {
-	// leaving is told of further lines that take servers out of service, also those of a message that
-	// proves to be broken. versioned: the version has been read.
-	onOutOfService func(lines serverList, versioned bool)
-	// named is told, once, of a whole list whose lines and version have come, but not its closing brace: what
-	// it does not name is gone.
+	// onOutOfService receives further entries that take servers out of service, including those of a message
+	// that proves to be broken. versionRead reports
+	// whether the version has been read.
+	onOutOfService func(found serverList, versionRead bool)
+	// onAllEntries receives, once, a whole list of which all entries and the version have been read, but not the
+	// closing brace. A server that it does not name is gone.
 	onAllEntries func(serverList)
-	// whole is told, once, of a message that is whole while the end of its framing has not come.
+	// onComplete receives, once, a message that is complete while its body has not ended.
 	onComplete func(serverList)
 }
 
-// listReader reads one message of discovery, line by line, so that its text is never held
-// as a whole. It takes what json.Unmarshal would take into a hostList.
+// listReader reads one message of discovery entry by entry, so that its whole text is never in memory. It accepts
+// what json.Unmarshal would decode into a listMessage.
 type listReader struct {
 	zones     []string
 	clock     clock
@@ -86,28 +88,28 @@
 	callbacks listCallbacks
 
 	versionRead        bool   // the version has been read
-	complete           bool   // the closing brace has been read,
-	completeReported   bool   // and told
-	allEntriesRead     bool   // the last line has been read,
-	allEntriesReported bool   // and the servers that are named were told
-	reportedEntries    int    // lines that leaving was told of, or that keep their servers
-	outOfService       []bool // of each line: it says so in a word that discovery knows, and can't be garbled by chance
+	complete           bool   // the closing brace has been read
+	completeReported   bool   // onComplete has been called
+	allEntriesRead     bool   // the closing bracket of the entries has been read
+	allEntriesReported bool   // onAllEntries has been called
+	reportedEntries    int    // number of entries that have been considered for onOutOfService
+	outOfService       []bool // whether each entry takes its server out with a known state, and not with a garbled one
 }
 
-// readList reads a message up to its end. An error leaves nothing of it.
+// readList reads a message up to its end. With an error it returns an empty list.
 func readList(body io.Reader, zones []string, c clock) (serverList, error) {
 	return streamList(body, zones, c, listCallbacks{
 		onOutOfService: func(serverList, bool) {}, onAllEntries: func(serverList) {}, onComplete: func(serverList) {},
 	})
 }
 
-// followList is readList, and tells of the message while it comes.
+// streamList is readList, and calls back while the message arrives.
 func streamList(body io.Reader, zones []string, c clock, callbacks listCallbacks) (serverList, error) {
 	bounded := &boundedReader{source: body}
 	r := listReader{zones: zones, clock: c, body: bounded, callbacks: callbacks}
 	bounded.beforeRead = r.reportProgress
 	r.decoder = json.NewDecoder(bufio.NewReaderSize(bounded, readBufferBytes))
-	r.decoder.UseNumber() // what is skipped may hold a number of any size
+	r.decoder.UseNumber() // a skipped value may hold a number of any size
 	err := r.readMessage()
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF
@@ -119,7 +121,7 @@
 	return r.list, nil
 }
 
-// waits tells how far the message has come before more of it is waited for.
+// reportProgress calls back with what has been read, before more of the message is awaited.
 func (r *listReader) reportProgress() {
 	switch {
 	case !r.complete && r.allEntriesRead && r.versionRead && r.list.isWhole:
@@ -132,7 +134,7 @@
 	}
 }
 
-// tellNamed tells of the servers that a whole list names.
+// reportAllEntries passes on the entries of a whole list, once.
 func (r *listReader) reportAllEntries() {
 	if !r.allEntriesReported {
 		r.allEntriesReported = true
@@ -140,7 +142,7 @@
 	}
 }
 
-// tellLeaving tells of the lines since the last time that take servers out of service.
+// reportOutOfService passes on the entries since the last report that take servers out of service.
 func (r *listReader) reportOutOfService() {
 	if r.completeReported {
 		return
@@ -158,12 +160,13 @@
 	}
 }
 
-// restIsBlank tells whether nothing but white space has come behind the message so far.
+// restIsBlank reports whether only white space has arrived after the message so far.
 func (r *listReader) restIsBlank() bool {
 	rest, err := io.ReadAll(r.decoder.Buffered())
 	return err == nil && len(bytes.TrimSpace(rest)) == 0
 }
 
+// readMessage reads the object of the message, and checks that nothing but white space follows it.
 func (r *listReader) readMessage() error {
 	opening, err := r.nextToken()
 	if err != nil {
@@ -175,7 +178,7 @@
 			return err
 		}
 		r.complete = true
-	case nil: // a null is a message that says nothing
+	case nil: // a null is an empty message
 	default:
 		return fmt.Errorf("%v in place of an object", opening)
 	}
@@ -186,10 +189,10 @@
 	case err != nil:
 		return err
 	}
-	return fmt.Errorf("%v after the end", rest)
+	return fmt.Errorf("%v after the end of the message", rest)
 }
 
-// fields reads the fields of the object that has been opened.
+// readFields reads the fields of the message's object and its closing brace.
 func (r *listReader) readFields() error {
 	for r.decoder.More() {
 		name, err := r.nextToken()
@@ -204,7 +207,7 @@
 	return err
 }
 
-// field reads the value of a field. The last of several alike counts.
+// readField reads the value of a field. If a field is repeated, its last value counts.
 func (r *listReader) readField(name string) error {
 	switch {
 	case strings.EqualFold(name, "rev"):
@@ -219,7 +222,7 @@
 	return r.skipValue()
 }
 
-// targets reads the lines, or a null in their place.
+// readEntries reads the array of entries, or a null in its place.
 func (r *listReader) readEntries() error {
 	r.list.entries, r.list.endpoints, r.list.firstEntries, r.reportedEntries, r.outOfService = nil, nil, nil, 0, nil
 	opening, err := r.nextToken()
@@ -245,7 +248,7 @@
 	return err
 }
 
-// skip passes over a value that means nothing to this node.
+// skipValue skips the value of a field that this node does not use.
 func (r *listReader) skipValue() error {
 	for depth := 0; ; {
 		token, err := r.nextToken()
@@ -267,26 +270,27 @@
 	}
 }
 
-// token gives the next token of the message.
+// nextToken returns the next token of the message.
 func (r *listReader) nextToken() (json.Token, error) {
 	r.body.valueBytes = 0
 	return r.decoder.Token()
 }
 
-// value decodes the next value of the message.
+// decodeValue decodes the next value of the message.
 func (r *listReader) decodeValue(into any) error {
 	r.body.valueBytes = 0
 	return r.decoder.Decode(into)
 }
 
-// boundedReader fails once its text is over the bound for a message or for one value.
+// boundedReader fails once its text exceeds the bound for a message or for one value.
 type boundedReader struct {
 	source     io.Reader
-	beforeRead func() // called before more is waited for; nil: nobody wants to know
+	beforeRead func() // called before each read that may wait; nil: not called
 	totalBytes int
-	valueBytes int // read since the present value began
+	valueBytes int // bytes read since the present value began
 }
 
+// Read implements io.Reader.
 func (b *boundedReader) Read(p []byte) (int, error) {
 	if b.valueBytes > maxListValueBytes {
 		return 0, &listTooLargeError{maxListValueBytes, "bytes in one value"}
--- a/internal/node/list_test.go
+++ b/internal/node/list_test.go
@@ -18,7 +18,7 @@
 
 var testZones = []string{"a", "b"}
 
-// listText is a whole list of so many servers, as discovery words it.
+// listText returns a whole list of the given number of servers, as discovery writes it.
 func listText(servers int) []byte {
 	var text bytes.Buffer
 	text.WriteString(`{"rev":41,"all":true,"targets":[`)
@@ -33,7 +33,7 @@
 	return text.Bytes()
 }
 
-// messages are of all the forms that discovery may use, and of many that it may not.
+// messages has all forms of message that discovery may use, and many that it may not.
 var messages = []string{
 	string(listText(3)),
 	`{"targets":[{"uid":"s1","endpoint":"127.0.0.1:1","az":"b","boot_ms":99999999999999}],"all":true,"rev":7}`,
@@ -55,7 +55,7 @@
 	`{"more":` + strings.Repeat("[", 10001) + strings.Repeat("]", 10001) + `}`,
 }
 
-// wanted is what json.Unmarshal makes of a message.
+// unmarshalList decodes a message with json.Unmarshal.
 func unmarshalList(text []byte, c clock) (list serverList, err error) {
 	var whole listMessage
 	if err := json.Unmarshal(text, &whole); err != nil {
@@ -68,8 +68,7 @@
 	return list, nil
 }
 
-// sameAsUnmarshal checks that reading line by line takes what json.Unmarshal takes, and
-// nothing else, however the text arrives.
+// requireSameAsUnmarshal checks that readList accepts exactly what json.Unmarshal accepts, however the text arrives.
 func requireSameAsUnmarshal(t *testing.T, text []byte) {
 	t.Helper()
 	c := newClock()
@@ -80,13 +79,14 @@
 	} {
 		got, err := readList(body, testZones, c)
 		if (err == nil) != (wantErr == nil) {
-			t.Errorf("%s: %.80q: %v, where json.Unmarshal says %v", name, text, err, wantErr)
+			t.Errorf("%s: %.80q: error %v, json.Unmarshal returns %v", name, text, err, wantErr)
 		} else if !reflect.DeepEqual(got, want) {
 			t.Errorf("%s: %.80q: read as %+v, want %+v", name, text, got, want)
 		}
 	}
 }
 
+// Guards against a message that readList decodes differently from json.Unmarshal.
 func TestListIsReadAsJSONUnmarshalReadsIt(t *testing.T) {
 	for _, text := range messages {
 		requireSameAsUnmarshal(t, []byte(text))
@@ -97,7 +97,7 @@
 	}
 }
 
-// A message that is cut anywhere gives an error and nothing else.
+// Guards against a truncated message that is used as a list: wherever it is cut, it gives an error and nothing else.
 func TestListThatIsCutGivesNothing(t *testing.T) {
 	text := listText(3)
 	for n := range text {
@@ -112,35 +112,37 @@
 		}
 	}
 	if _, err := readList(io.MultiReader(bytes.NewReader(text), iotest.ErrReader(io.ErrUnexpectedEOF)), testZones, newClock()); err == nil {
-		t.Error("a message that breaks off behind its last brace is taken")
+		t.Error("a message whose body breaks off after the last brace is accepted")
 	}
 }
 
+// FuzzListIsReadAsJSONUnmarshalReadsIt compares readList with json.Unmarshal for random texts.
 func FuzzListIsReadAsJSONUnmarshalReadsIt(f *testing.F) {
 	for _, text := range messages {
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if bytes.Count(bytes.ToLower(text), []byte("targets")) < 2 { // Unmarshal mixes the lines of two such fields
+		if bytes.Count(bytes.ToLower(text), []byte("targets")) < 2 { // json.Unmarshal merges the entries of two such fields
 			requireSameAsUnmarshal(t, text)
 		}
 	})
 }
 
-// endless is a text that repeats for ever.
+// repeatingReader reads a text that repeats without end.
 type repeatingReader struct {
 	text   string
 	offset int
 }
 
-func (e *repeatingReader) Read(p []byte) (n int, err error) {
+func (r *repeatingReader) Read(p []byte) (n int, err error) {
 	for n < len(p) {
-		k := copy(p[n:], e.text[e.offset:])
-		n, e.offset = n+k, (e.offset+k)%len(e.text)
+		k := copy(p[n:], r.text[r.offset:])
+		n, r.offset = n+k, (r.offset+k)%len(r.text)
 	}
 	return n, nil
 }
 
+// Guards against a message that uses up the memory of a node: each bound ends an endless text with its own error.
 func TestListIsBounded(t *testing.T) {
 	after := func(start, repeated string) io.Reader {
 		return io.MultiReader(strings.NewReader(start), &repeatingReader{text: repeated})
@@ -167,23 +169,23 @@
 	}
 	_, err := text.Read(make([]byte, 1))
 	if want := fmt.Sprintf("over %d bytes", maxListBytes); err == nil || err.Error() != want {
-		t.Errorf("past the bound: error %v, want %q", err, want)
+		t.Errorf("over the bound: error %v, want %q", err, want)
 	}
 }
 
-// A list of the size in service lies well within the bounds.
+// Guards against bounds that are too low: a list of the size in use is read and is less than half of each bound.
 func TestListOfAllServersIsRead(t *testing.T) {
 	const servers = 55_000
 	text := listText(servers)
 	list, err := readList(bytes.NewReader(text), testZones, newClock())
 	if err != nil || len(list.entries) != servers || len(list.endpoints) != servers || !list.isWhole || list.version != 41 {
-		t.Fatalf("read %d entries and %d endpoints, error %v", len(list.entries), len(list.endpoints), err)
+		t.Fatalf("read %d entries and %d endpoints, error %v; want all of version 41", len(list.entries), len(list.endpoints), err)
 	}
 	if last := servers - 1; list.entries[last].Server != serverID(fmt.Sprintf("s-%08x", last)) || list.endpoints[last] != "127.0.214.215:8000" {
 		t.Errorf("the last server is %+v at %s", list.entries[last], list.endpoints[last])
 	}
 	if len(list.firstEntries) != maxLoggedServers {
-		t.Errorf("%d lines kept for the log, want %d", len(list.firstEntries), maxLoggedServers)
+		t.Errorf("%d entries kept for the log, want %d", len(list.firstEntries), maxLoggedServers)
 	}
 	if 2*len(text) > maxListBytes || 2*servers > maxListServers || math.MaxInt32 < maxListBytes {
 		t.Errorf("%d servers in %d bytes are too close to the bounds", servers, len(text))
@@ -193,7 +195,7 @@
 	}
 }
 
-// Guards the log against a line for each server where very many change at once.
+// Guards against a log with one line for each server when very many servers change at once.
 func TestChangesOfManyServersAreLoggedInFewLines(t *testing.T) {
 	for servers, want := range map[int]int{1: 1, maxLoggedServers: maxLoggedServers, 5000: maxLoggedServers + 1} {
 		var text bytes.Buffer
@@ -206,10 +208,10 @@
 		}
 		client.accept(list)
 		if lines := bytes.Count(text.Bytes(), []byte("\n")); lines != want || published != servers {
-			t.Errorf("%d changes: %d lines, %d handed on; want %d lines", servers, lines, published, want)
+			t.Errorf("%d changes: %d log lines, %d changes passed on; want %d lines and all changes", servers, lines, published, want)
 		}
 		if servers > maxLoggedServers && !strings.Contains(text.String(), fmt.Sprint("count=", servers-maxLoggedServers)) {
-			t.Errorf("the log does not say how many more there are: %s", &text)
+			t.Errorf("the log does not say how many more servers changed: %s", &text)
 		}
 	}
 }
