--- a/internal/node/backoff.go
+++ b/internal/node/backoff.go
@@ -5,23 +5,22 @@
 	"time"
 )
 
-// backoff gives the delays between attempts that fail in a row: they double from first
-// up to most.
+// backoff gives the delays between consecutive failures. They double from initialDelay up to maxDelay.
 type backoff struct {
 	initialDelay, maxDelay time.Duration
-	lastDelay              time.Duration // the last one given; 0: none so far
+	lastDelay              time.Duration // latest delay; 0: no failure since the start or a reset
 }
 
-// next gives the delay after one more failure.
+// next returns the delay after another failure.
 func (b *backoff) next() time.Duration {
 	b.lastDelay = min(max(2*b.lastDelay, b.initialDelay), b.maxDelay)
 	return b.lastDelay
 }
 
-// reset is told of a success.
+// reset starts again from the initial delay, after a success.
 func (b *backoff) reset() { b.lastDelay = 0 }
 
-// sleep waits for a time or until ctx ends.
+// sleep waits for the delay or until ctx ends.
 func sleep(ctx context.Context, delay time.Duration) {
 	if delay <= 0 {
 		return
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -11,15 +11,15 @@
 	"otterstep/internal/wire"
 )
 
-// Config is what a node is told at its start.
+// Config is the configuration of a node at its start.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Seed      uint64
-	MemoryMB  int
-	Sockets   int
-	KnownList listMessage
+	Name      string      // name of the node in its log
+	Listen    string      // address at which the node accepts clients
+	Discovery string      // address of discovery
+	Seed      uint64      // seed of the module's random choices
+	MemoryMB  int         // memory that the node may use, in MiB; 0: no limit
+	Sockets   int         // number of descriptors that the node may use
+	KnownList listMessage // list of servers that the node last had
 	Site      wire.NodeSettings
 }
 
@@ -60,7 +60,7 @@
 		return invalid("limits.sockets", fmt.Errorf("%d, at least %d are needed", config.Sockets, minSockets))
 	}
 	if len(file.Settings) == 0 {
-		return invalid("settings", errors.New("none given"))
+		return invalid("settings", errors.New("missing"))
 	}
 	if config.Site, err = wire.ParseNodeSettings(file.Settings); err != nil {
 		return invalid("settings", err)
--- a/internal/node/faults.go
+++ b/internal/node/faults.go
@@ -10,21 +10,21 @@
 	"time"
 )
 
-// What the system calls of this machine may answer for a moment, and what becomes of it.
+// This file retries system calls that fail for reasons that may pass.
 
 const (
-	initialRetryDelay = 5 * time.Millisecond // pauses between tries double from here
+	initialRetryDelay = 5 * time.Millisecond // delay after a first failure; further delays double
 	maxRetryDelay     = 100 * time.Millisecond
-	listenTimeout     = 3 * time.Second // an address may be taken for a moment by the process before this one
+	listenTimeout     = 3 * time.Second // the previous process may still hold the address for a moment
 	maxDialRetries    = 2
 )
 
-// brokenListener are errors of accept that tell of a listener that will never work again. All others
-// that Linux documents pass: those of a connection that broke while it waited, of the network, and of
-// resources that ran out (accept(2), "Error handling").
+// fatalAcceptErrors are errors of accept after which the listener will never work again. All others that Linux
+// documents are transient: errors of a pending connection, of the network, and of exhausted resources (accept(2),
+// "Error handling").
 var fatalAcceptErrors = []error{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT}
 
-// localFailures are errors of socket and connect that are this machine's own: they say nothing of the
+// localErrors are errors of socket and connect that have their cause on this machine. They say nothing about the
 // server that was to be reached.
 var localErrors = []error{
 	syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS,
@@ -32,13 +32,13 @@
 	syscall.EPERM, syscall.EACCES,
 }
 
-// isAny tells whether an error is one of some.
+// isOneOf reports whether an error matches one of the candidates.
 func isOneOf(err error, candidates []error) bool {
 	return slices.ContainsFunc(candidates, func(target error) bool { return errors.Is(err, target) })
 }
 
-// steadyListener goes on accepting after errors that pass. net/http's server ends at those that don't
-// call themselves temporary, such as ENOBUFS, and the node with it.
+// retryingListener continues to accept after transient errors. The server of net/http ends at those that are not
+// marked as temporary, such as ENOBUFS, and the node would end with it.
 type retryingListener struct {
 	net.Listener
 	log *slog.Logger
@@ -59,7 +59,7 @@
 	}
 }
 
-// listen listens at an address, and tries again for a while where the system has none to give.
+// listenWithRetry listens at an address. If that fails with a local error, it tries again for up to listenTimeout.
 func listenWithRetry(ctx context.Context, addr string, log *slog.Logger) (net.Listener, error) {
 	delays := backoff{initialDelay: initialRetryDelay, maxDelay: maxRetryDelay}
 	for deadline := time.Now().Add(listenTimeout); ; {
@@ -74,21 +74,21 @@
 	}
 }
 
-// dialer connects to a server.
+// dialer is a function that connects to a server.
 type dialer func(ctx context.Context, addr string) (net.Conn, error)
 
-// dialTCP gives up after a time.
+// tcpDialer returns a dialer that fails after the timeout.
 func tcpDialer(timeout time.Duration) dialer {
 	d := net.Dialer{Timeout: timeout}
 	return func(ctx context.Context, addr string) (net.Conn, error) { return d.DialContext(ctx, "tcp", addr) }
 }
 
-// dialContext is dial in the form that net/http takes.
+// dialContext is dial with the signature that net/http expects.
 func (d dialer) dialContext(ctx context.Context, _, addr string) (net.Conn, error) {
 	return d.dial(ctx, addr)
 }
 
-// dial connects to a server, and tries again at once where this machine is what failed.
+// dial connects to a server. After a local error it tries again, up to maxDialRetries times.
 func (d dialer) dial(ctx context.Context, addr string) (net.Conn, error) {
 	delays := backoff{initialDelay: initialRetryDelay, maxDelay: maxRetryDelay}
 	for tries := 0; ; tries++ {
--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -16,13 +16,14 @@
 	"otterstep/policy"
 )
 
-// failingListener fails with an error before each connection.
+// failingListener returns an error before each connection that it accepts.
 type failingListener struct {
 	net.Listener
 	err   error
 	calls atomic.Int64
 }
 
+// Accept implements net.Listener.
 func (l *failingListener) Accept() (net.Conn, error) {
 	if l.calls.Add(1)%2 == 1 {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", l.err)}
@@ -30,8 +31,8 @@
 	return l.Listener.Accept()
 }
 
-// Guards the node against an end by an error of accept that passes: its connections and all that it
-// had taken were lost with it.
+// Guards against a node that ends at a transient error of accept: its connections and the requests that it had read
+// were lost.
 func TestNodeSurvivesAcceptErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{
 		syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
@@ -47,18 +48,18 @@
 			}
 			n := startNodeOn(t, &failingListener{Listener: l, err: errno}, newFakeDiscovery(t, inServiceEntry(s, "s1")), ConfigReloader{})
 			n.awaitReady(t)
-			for range 3 { // each on a connection of its own
+			for range 3 { // each on its own connection
 				r := newClientRequest(t, n.addr, "read", "2.5")
 				r.Close = true
 				if code, _, _ := doRequest(t, r); code != http.StatusOK {
-					t.Errorf("answered %d", code)
+					t.Errorf("answered %d, want 200", code)
 				}
 			}
 		})
 	}
 }
 
-// A listener that will never work again is told, and not tried for ever.
+// Guards against endless retries: an error after which the listener will never work again ends the node.
 func TestBrokenListenerEndsTheNode(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -68,14 +69,14 @@
 	select {
 	case <-n.ended:
 		if !errors.Is(n.err, syscall.EINVAL) {
-			t.Errorf("ended with %v", n.err)
+			t.Errorf("the node ends with error %v, want EINVAL", n.err)
 		}
 	case <-time.After(testTimeout):
-		t.Error("does not end")
+		t.Error("the node does not end")
 	}
 }
 
-// An address that the process before has not let go of yet is waited for.
+// Guards against a node that fails to start because the previous process still holds its address for a moment.
 func TestAddressThatIsTakenForAMomentIsWaitedFor(t *testing.T) {
 	before, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -98,11 +99,12 @@
 	l.Close()
 }
 
+// writerFunc is a function that implements io.Writer.
 type writerFunc func([]byte) (int, error)
 
 func (f writerFunc) Write(b []byte) (int, error) { return f(b) }
 
-// failingDialer fails so many times with an error and then dials.
+// failingDialer returns a dialer that fails the given number of times with an error and then connects.
 func failingDialer(failures int64, errno syscall.Errno) dialer {
 	var calls atomic.Int64
 	real := tcpDialer(testTimeout)
@@ -114,8 +116,8 @@
 	}
 }
 
-// Guards breakers against failures of the node's own machine: they say nothing of a server, and some
-// of them in a row opened the breakers of all.
+// Guards breakers against errors of the node's own machine: they say nothing about a server, but consecutive ones opened
+// the breakers of all servers.
 func TestFailuresOfThisMachineAreNotTheServers(t *testing.T) {
 	for _, c := range []struct {
 		errno    syscall.Errno
@@ -143,7 +145,7 @@
 				t.Errorf("status %v, want %v", p.status, c.want)
 			}
 			if open := u.openConns; c.want != policy.OK && open != 0 {
-				t.Errorf("%d connections are counted as open", open)
+				t.Errorf("%d connections are counted as open, want none", open)
 			}
 		})
 	}
--- a/internal/node/gate.go
+++ b/internal/node/gate.go
@@ -6,21 +6,23 @@
 	"otterstep/policy"
 )
 
-// sendGate keeps attempts from beginning at servers that discovery has just taken out of service, from the
-// moment at which the node has read so until the module has withdrawn them. It is safe for concurrent use.
+// sendGate keeps attempts from beginning at servers that discovery has just taken out of service, from the time at
+// which the node has read that until the module has cancelled the attempts not yet sent there. It is safe for
+// concurrent use.
 type sendGate struct {
 	mu         sync.Mutex
-	takenOut   map[policy.ServerID]int          // messages under way that take a server out,
-	wholeLists map[int]map[policy.ServerID]bool // and the servers that whole lists under way name
-	lastListID int                              // number of a whole list
+	takenOut   map[policy.ServerID]int          // number of pending messages that take a server out of service
+	wholeLists map[int]map[policy.ServerID]bool // servers that each pending whole list names, by number of the list
+	lastListID int                              // number of the latest whole list
 }
 
+// newSendGate returns a gate that is open for all servers.
 func newSendGate() *sendGate {
 	return &sendGate{takenOut: map[policy.ServerID]int{}, wholeLists: map[int]map[policy.ServerID]bool{}}
 }
 
-// shut closes the gate to servers that lines take out of service, until the function is called that it gives.
-// Lines that name all servers take out those that they do not name.
+// closeFor closes the gate for the servers that entries take out of service, until the returned function is called.
+// If the entries name all servers, those that they do not name are out of service too.
 func (g *sendGate) closeFor(entries []policy.Entry, namesAll bool) (reopen func()) {
 	var named map[policy.ServerID]bool
 	if namesAll {
@@ -45,7 +47,7 @@
 	return func() { g.reopenWholeList(listID, entries) }
 }
 
-// reopenWhole ends what shut began for lines that name all servers.
+// reopenWholeList undoes closeFor for entries that name all servers.
 func (g *sendGate) reopenWholeList(listID int, entries []policy.Entry) {
 	g.reopen(entries)
 	g.mu.Lock()
@@ -53,7 +55,7 @@
 	delete(g.wholeLists, listID)
 }
 
-// reopen ends what shut began for the servers that lines take out of service.
+// reopen undoes closeFor for the servers that entries take out of service.
 func (g *sendGate) reopen(entries []policy.Entry) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -67,7 +69,7 @@
 	}
 }
 
-// admits tells whether an attempt may begin at a server.
+// admits reports whether an attempt may begin at a server.
 func (g *sendGate) admits(server policy.ServerID) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/node/gate_test.go
+++ b/internal/node/gate_test.go
@@ -14,7 +14,8 @@
 	"otterstep/policy"
 )
 
-// Guards rule 3 between the moment at which a line was read and that at which the module has withdrawn attempts.
+// Guards against requests to a server after its drain notice, between the time at which its entry was read and the time
+// at which the module has cancelled unsent attempts.
 func TestNoAttemptBeginsAtAServerThatIsBeingTakenOut(t *testing.T) {
 	gate := newSendGate()
 	begins := func(server policy.ServerID) bool {
@@ -28,22 +29,23 @@
 	}
 	first()
 	if begins(1) || !begins(3) {
-		t.Error("the gate opens before the last message about a server is through, or not behind it")
+		t.Error("the gate opens before the last message about a server is handled, or stays closed after it")
 	}
 	if second(); !begins(1) || len(gate.takenOut) > 0 {
-		t.Errorf("the gate stays shut: %v", gate.takenOut)
+		t.Errorf("the gate stays closed: %v", gate.takenOut)
 	}
 }
 
-// Guards rule 3 while the node is busy with other news: nothing begins at a server from the moment on at which an
-// answer was read that takes it out of service, by a line or by a whole list that does not name it.
+// Guards against requests to a server after its drain notice, while the node is busy with another update: no attempt begins
+// at a server once an answer has been read that takes it out of service, by an entry or by a whole list that does not
+// name it.
 func TestNoAttemptBeginsOnceAnAnswerWasReadHoweverBusyTheNodeIs(t *testing.T) {
 	const removed = "s1"
 	for name, text := range map[string]string{
-		"a line":              `{"rev":42,"all":false,"targets":[` + entryText(removed, "terminating") + `]}`,
-		"a line of a part":    `{"rev":42,"all":false,"targets":[` + entryText(removed, "terminated"),
-		"a whole list":        `{"rev":42,"all":true,"targets":[` + entryText("s2", "in_service") + `]}`,
-		"an empty whole list": `{"rev":42,"all":true,"targets":[]}`,
+		"an entry":                     `{"rev":42,"all":false,"targets":[` + entryText(removed, "terminating") + `]}`,
+		"an entry of a partial answer": `{"rev":42,"all":false,"targets":[` + entryText(removed, "terminated"),
+		"a whole list":                 `{"rev":42,"all":true,"targets":[` + entryText("s2", "in_service") + `]}`,
+		"an empty whole list":          `{"rev":42,"all":true,"targets":[]}`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -52,7 +54,7 @@
 			defer service.Close()
 			client := newDiscoveryClient(service.Listener.Addr().String(), parseTestSite(t, testSettings), newClock(), slog.New(slog.DiscardHandler))
 			client.hasVersion, client.version = !strings.Contains(text, `"all":true`), 41
-			client.execute(t.Context(), callCommand{call: policy.Call{ID: 1}}) // nothing takes the reply
+			client.execute(t.Context(), callCommand{call: policy.Call{ID: 1}}) // nothing receives the reply
 			for deadline := time.Now().Add(time.Second); client.gate.admits(serverID(removed)); time.Sleep(time.Millisecond) {
 				if time.Now().After(deadline) {
 					t.Fatal("the gate stays open")
@@ -60,20 +62,21 @@
 			}
 			reply := <-client.replies
 			if reply.reopenGate(); !client.gate.admits(serverID(removed)) || !client.gate.admits(serverID("s3")) {
-				t.Error("the gate stays shut behind the answer")
+				t.Error("the gate stays closed after the answer was handled")
 			}
 		})
 	}
 }
 
-// The node finds out at run time that it sent past the grace, however that came to be.
+// Guards the metric of drain violations: an attempt that begins after the drain grace is counted and logged, whatever
+// its cause.
 func TestAttemptPastTheGraceIsCountedAsAViolation(t *testing.T) {
 	for name, c := range map[string]struct {
-		begun time.Duration // after the server was told to drain
-		want  int64
+		beganAfter time.Duration // time from the drain notice of the server to the attempt
+		want       int64
 	}{
-		"within the grace":     {250 * time.Millisecond, 0},
-		"later than the grace": {251 * time.Millisecond, 1},
+		"within the grace": {250 * time.Millisecond, 0},
+		"after the grace":  {251 * time.Millisecond, 1},
 	} {
 		l := newTestLoop(t)
 		var text bytes.Buffer
@@ -81,7 +84,7 @@
 		l.applyNewerUpdate(policy.ListWhole, []policy.Entry{{Server: 1, State: policy.StateInService}}, []string{"one"})
 		l.applyNewerUpdate(policy.ListChanges, []policy.Entry{{Server: 1, State: policy.StateDraining}}, []string{"one"})
 		a := &attempt{request: &request{id: 7, answered: true}, serverID: 1, cancel: func() {}}
-		a.beganAt.Store(int64(l.now + c.begun))
+		a.beganAt.Store(int64(l.now + c.beganAfter))
 		l.reportOutcome(a, policy.OK, l.now)
 		if got := l.metrics.drainViolations.Load(); got != c.want || strings.Contains(text.String(), "drain violation") != (c.want > 0) {
 			t.Errorf("%s: %d violations, log %q; want %d", name, got, &text, c.want)
@@ -89,7 +92,7 @@
 	}
 }
 
-// The metrics tell of violations, unless the path is that of a class of requests.
+// The metrics include drain violations. If a class of requests has the path of the metrics, requests go to the class.
 func TestMetricsTellOfViolations(t *testing.T) {
 	l := newTestLoop(t)
 	l.metrics.drainViolations.Add(3)
@@ -104,6 +107,6 @@
 		t.Errorf("the metrics are %q, want %q in them", got, want)
 	}
 	if got := scrape("metrics"); strings.Contains(got, want) {
-		t.Errorf("a request of the class %q is answered with %q", "metrics", got)
+		t.Errorf("a request of class %q is answered with the metrics %q", "metrics", got)
 	}
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// A file that can't be used may be half written still, or be put in place a moment after the
-// signal: it is read again until it can, after pauses that double, for reloadFor at most.
+// A file that cannot be used may be incomplete, or may be put in place shortly after the signal. It is read
+// again until it can be used, after delays that double, for at most reloadTimeout.
 const (
 	reloadInitialDelay = 50 * time.Millisecond
 	reloadMaxDelay     = time.Second
 	reloadTimeout      = time.Minute
 )
 
-// Reloads says where a running node finds a new configuration, and when.
+// ConfigReloader reads the configuration file of a running node again at each signal.
 type ConfigReloader struct {
-	Path    string
-	Signals <-chan os.Signal
+	Path    string           // path of the configuration file
+	Signals <-chan os.Signal // receives each signal to read the file
 }
 
-// follow reads the file at each signal and hands discovery's address on. A file
-// that would not do at a start changes nothing, unless it does soon after.
+// run reads the file at each signal until ctx ends, and passes on a changed address of discovery. A file that a
+// node could not start with changes nothing, unless it becomes valid within reloadTimeout.
 func (r ConfigReloader) run(ctx context.Context, current Config, changeAddr func(addr string), log *slog.Logger) {
 	for {
 		select {
@@ -42,7 +42,7 @@
 			"settings": reflect.DeepEqual(next.Site, current.Site),
 		} {
 			if !unchanged {
-				log.Warn("reload: a change that takes a restart is left out", "what", setting)
+				log.Warn("reload: a change that needs a restart is ignored", "what", setting)
 			}
 		}
 		log.Info("reloaded", "discovery", next.Discovery)
@@ -53,8 +53,8 @@
 	}
 }
 
-// load reads the file until it can be used; false where that takes too long. A further signal makes
-// it read anew at once.
+// loadWithRetry reads the file until it can be used, and returns false if that takes too long. A further signal
+// makes it read the file at once and restarts its time.
 func (r ConfigReloader) loadWithRetry(ctx context.Context, log *slog.Logger) (next Config, loaded bool) {
 	delays := backoff{initialDelay: reloadInitialDelay, maxDelay: reloadMaxDelay}
 	for deadline := time.Now().Add(reloadTimeout); ; {
@@ -63,10 +63,10 @@
 			return next, true
 		}
 		if delays.lastDelay == 0 {
-			log.Error("reload failed, the configuration stays", "err", err)
+			log.Error("reload failed, the configuration is unchanged", "err", err)
 		}
 		if time.Now().After(deadline) {
-			log.Error("reload given up", "err", err)
+			log.Error("reload abandoned, the file cannot be used", "err", err)
 			return Config{}, false
 		}
 		select {
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// writeConfig puts a configuration with some discovery into the file.
+// writeConfig writes a configuration with the given address of discovery to the file.
 func writeConfig(t *testing.T, path, discovery string) {
 	t.Helper()
 	text, err := json.Marshal(map[string]any{
@@ -32,14 +32,14 @@
 	}
 }
 
-// Guards rules 1 and 3 when the configuration changes under load: the watch at the
-// old address is broken off though it would go on, the list of the new one replaces
-// the old, and no request suffers. A file that is no good changes nothing.
+// Guards requests against a change of the configuration under load: the watch at the old address ends early, the list
+// of the new address replaces the old list, each request is served, and no request goes to a server of the old list
+// afterwards. An invalid file changes nothing.
 func TestReloadMovesDiscoveryUnderLoad(t *testing.T) {
 	s1, s2 := newFakeServer(t, respondWith(okResponse("1"), true)), newFakeServer(t, respondWith(okResponse("2"), true))
 	old, next := newFakeDiscovery(t, inServiceEntry(s1, "s1")), newFakeDiscovery(t, inServiceEntry(s2, "s2"))
 	for range 5 {
-		old.change(inServiceEntry(s1, "s1")) // a version that the other has never had
+		old.change(inServiceEntry(s1, "s1")) // a version that the other discovery has never had
 	}
 	hangups := make(chan os.Signal, 1)
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -63,7 +63,7 @@
 				text, err := io.ReadAll(resp.Body)
 				resp.Body.Close()
 				if err != nil || resp.StatusCode != http.StatusOK || string(text) != "1" && string(text) != "2" {
-					t.Errorf("answered %s %q, %v", resp.Status, text, err)
+					t.Errorf("answered %s %q, %v; want 200 from one of the servers", resp.Status, text, err)
 					return
 				}
 			}
@@ -73,9 +73,9 @@
 		t.Fatal(err)
 	}
 	hangups <- syscall.SIGHUP
-	waitFor(t, "signal taken", func() bool { return len(hangups) == 0 })
+	waitFor(t, "receipt of the signal", func() bool { return len(hangups) == 0 })
 	old.change(inServiceEntry(s1, "s1"))
-	old.awaitSynced(t) // the bad file left the watch in place
+	old.awaitSynced(t) // the invalid file did not end the watch
 
 	writeConfig(t, path, next.Listener.Addr().String())
 	hangups <- syscall.SIGHUP
@@ -85,14 +85,15 @@
 	before := s1.requests.Load()
 	for range 10 {
 		if code, _, body := doRequest(t, newClientRequest(t, addr, "read", "2.5")); code != http.StatusOK || body != "2" {
-			t.Errorf("answered %d %q, want 200 from the new list", code, body)
+			t.Errorf("answered %d %q, want 200 from the server of the new list", code, body)
 		}
 	}
 	if n := s1.requests.Load(); n != before {
-		t.Errorf("%d requests to a server that the new list does not name", n-before)
+		t.Errorf("%d requests to a server that the new list does not name, want none", n-before)
 	}
 }
 
+// Guards against changes that are ignored without notice: the log names each changed setting that needs a restart.
 func TestReloadSaysWhatTakesARestart(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	writeConfig(t, path, "127.0.0.1:2")
@@ -102,34 +103,34 @@
 	}
 	current.Listen, current.Discovery = "127.0.0.1:9", "127.0.0.1:1"
 	var text bytes.Buffer
-	hangups, moved := make(chan os.Signal), make(chan string, 4)
+	hangups, addrChanges := make(chan os.Signal), make(chan string, 4)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		ConfigReloader{path, hangups}.run(ctx, current, func(addr string) { moved <- addr }, slog.New(slog.NewTextHandler(&text, nil)))
+		ConfigReloader{path, hangups}.run(ctx, current, func(addr string) { addrChanges <- addr }, slog.New(slog.NewTextHandler(&text, nil)))
 	}()
 	hangups <- syscall.SIGHUP
-	hangups <- syscall.SIGHUP // the same again moves nothing
+	hangups <- syscall.SIGHUP // the same file again changes no address
 	stop()
 	<-ended
-	if len(moved) != 1 || <-moved != "127.0.0.1:2" {
-		t.Error("want one move, to the new address")
+	if len(addrChanges) != 1 || <-addrChanges != "127.0.0.1:2" {
+		t.Error("want one change of address, to the new address")
 	}
 	if !bytes.Contains(text.Bytes(), []byte("what=listen")) || bytes.Contains(text.Bytes(), []byte("what=settings")) {
-		t.Errorf("log %s, want the listen address named and nothing else", fmt.Sprint(&text))
+		t.Errorf("log %s, want it to name the listen address and nothing else", fmt.Sprint(&text))
 	}
 }
 
-// Guards the node against staying at an address that goes away: the file may be missing or half written
-// when the signal comes, and no other signal follows. Each error is logged once for a signal.
+// Guards against a node that stays at a former address of discovery: the file may be missing or incomplete when the
+// signal arrives, and no other signal follows. The failure is logged once for each signal.
 func TestReloadReadsAFileThatIsNotWholeYetAgain(t *testing.T) {
-	for name, spoil := range map[string]func(path string) error{
+	for name, damage := range map[string]func(path string) error{
 		"missing":      os.Remove,
 		"empty":        func(path string) error { return os.Truncate(path, 0) },
 		"half written": func(path string) error { return os.Truncate(path, 100) },
-		"a folder":     func(path string) error { return errors.Join(os.Remove(path), os.Mkdir(path, 0o700)) },
-		"wrong":        func(path string) error { return os.WriteFile(path, []byte(`{"listen":"nowhere"}`), 0o600) },
+		"a directory":  func(path string) error { return errors.Join(os.Remove(path), os.Mkdir(path, 0o700)) },
+		"invalid":      func(path string) error { return os.WriteFile(path, []byte(`{"listen":"nowhere"}`), 0o600) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "config.json")
@@ -138,7 +139,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := spoil(path); err != nil {
+			if err := damage(path); err != nil {
 				t.Fatal(err)
 			}
 			failed := make(chan struct{}, 16)
@@ -148,27 +149,27 @@
 				}
 				return len(line), nil
 			}), nil))
-			hangups, moved := make(chan os.Signal), make(chan string, 4)
+			hangups, addrChanges := make(chan os.Signal), make(chan string, 4)
 			ctx, stop := context.WithCancel(t.Context())
 			ended := make(chan struct{})
 			go func() {
 				defer close(ended)
-				ConfigReloader{path, hangups}.run(ctx, current, func(addr string) { moved <- addr }, log)
+				ConfigReloader{path, hangups}.run(ctx, current, func(addr string) { addrChanges <- addr }, log)
 			}()
 			hangups <- syscall.SIGHUP
 			<-failed
-			hangups <- syscall.SIGHUP // while it is read again
+			hangups <- syscall.SIGHUP // a signal while the file is read again
 			<-failed
-			whole := path + ".new"
-			writeConfig(t, whole, "127.0.0.1:2")
-			os.Remove(path) // a folder can't be replaced
-			if err := os.Rename(whole, path); err != nil {
+			newPath := path + ".new"
+			writeConfig(t, newPath, "127.0.0.1:2")
+			os.Remove(path) // a directory cannot be replaced by a file
+			if err := os.Rename(newPath, path); err != nil {
 				t.Fatal(err)
 			}
 			select {
-			case addr := <-moved:
+			case addr := <-addrChanges:
 				if addr != "127.0.0.1:2" {
-					t.Errorf("moved to %s", addr)
+					t.Errorf("the address changes to %s", addr)
 				}
 			case <-time.After(testTimeout):
 				t.Error("the file is not read again")
@@ -176,7 +177,7 @@
 			stop()
 			<-ended
 			if len(failed) != 0 {
-				t.Errorf("%d further lines on the same failure", len(failed))
+				t.Errorf("%d further log lines about the same failure", len(failed))
 			}
 		})
 	}
