--- a/internal/node/decision_log.go
+++ b/internal/node/decision_log.go
@@ -7,17 +7,17 @@
 	"otterstep/policy"
 )
 
-// decisionLog writes the decisions of the module that no action shows, at the debug level. It
-// implements policy.Observer.
+// decisionLog logs the decisions of the module that no action shows, and counts some of them. It implements
+// policy.Observer.
 type decisionLog struct {
 	log  *slog.Logger
 	loop *loop
 }
 
-// CallPlanned implements policy.Observer. A list that is due already shows a time left below 0.
+// CallPlanned implements policy.Observer. A list that is overdue is logged with a negative time left.
 func (g decisionLog) CallPlanned(at, due time.Duration) {
 	now := g.loop.now
-	listDueIn := slog.String("list_due_in", "not heard yet")
+	listDueIn := slog.String("list_due_in", "no answer yet")
 	if due > 0 {
 		listDueIn = slog.Duration("list_due_in", due-now)
 	}
@@ -38,7 +38,7 @@
 // ServerHeld implements policy.Observer.
 func (g decisionLog) ServerHeld(server policy.ServerID, out, listed policy.Origin) {
 	g.loop.metrics.serversHeld.Add(1)
-	g.log.Debug("server is listed in service again by a source that may lag, and gets no work",
+	g.log.Debug("server gets no work, as the source that lists it in service again may lag",
 		"endpoint", g.loop.servers[server].addr, "out_at_rev", out.Version, "listed_at_rev", listed.Version,
 		"same_source", out.Source == listed.Source)
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -6,18 +6,18 @@
 	"sync/atomic"
 )
 
-// metricsPath answers with the metrics in Prometheus' text format, unless a class of requests has that name.
+// metricsPath serves the metrics in the text format of Prometheus, unless a class of requests has that name.
 const metricsPath = "/metrics"
 
-// metrics are the counters of a node. They are safe for concurrent use.
+// metrics holds the counters of a node. They are safe for concurrent use.
 type metrics struct {
-	drainViolations  atomic.Int64 // attempts that began after the grace of a server out of service
-	partialListLines atomic.Int64 // lines that counted though their answer was not taken whole
-	listsOverdue     atomic.Int64 // times that nothing was heard from discovery for longer than the rules allow
-	serversHeld      atomic.Int64 // times that a server got no work as the source that listed it may lag
+	drainViolations  atomic.Int64 // attempts that began after the drain grace of a server out of service
+	partialListLines atomic.Int64 // entries that took effect although their answer was not accepted as a whole
+	listsOverdue     atomic.Int64 // times that discovery brought no news for longer than the rules allow
+	serversHeld      atomic.Int64 // times that a server was held out of service because the source that listed it may lag
 }
 
-// write writes all counters.
+// write writes all counters in the text format of Prometheus.
 func (m *metrics) write(w io.Writer) {
 	for _, counter := range []struct {
 		name, help string
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node is the real node: it drives the decision module of package policy
-// with what happens on sockets, and decides nothing itself.
+// Package node runs a load-balancing node on real sockets. It passes what happens on them to the decision module in
+// package policy and carries out the module's decisions.
 package node
 
 import (
@@ -17,39 +17,39 @@
 )
 
 const (
-	// The descriptors that are neither clients' nor servers' connections:
-	// standard streams, listener, poller, discovery.
+	// reservedSockets is the number of descriptors that are not connections to clients or servers: standard
+	// streams, listener, poller, discovery.
 	reservedSockets = 24
-	minSockets      = 64
+	// minSockets is the smallest number of descriptors with which a node starts.
+	minSockets = 64
 
-	// A node that was told to end is killed no sooner than drainGrace and the longest
-	// deadline later, a deadline over drainLongest counting as that. Clients go on using
-	// what connections stay open, and on a tier of one can go nowhere else, so it serves
-	// until shortly before: answers are due drainSpare ahead of that, connections end from
-	// drainLeave ahead of it on, those behind an answer before those that must be closed
-	// while idle. It may be held up between the signal and its clock, which counts from then on.
+	// A node that was told to stop is not killed before the longest deadline plus killMargin has passed, where a
+	// deadline over maxKillDeadline counts as maxKillDeadline. Clients go on using the connections that stay open,
+	// and have no other node if the tier has only one. So the node serves until shortly before the kill: its last
+	// answers are due finalAnswerMargin before the kill, and it closes idle connections connectionCloseMargin
+	// before the kill. During closeAfterAnswerTime before that, connections close only after an answer. The node
+	// may notice the signal up to maxSignalDelay late, and counts the time to the kill from then on.
 	maxSignalDelay        = 150 * time.Millisecond
 	killMargin            = 700 * time.Millisecond
 	maxKillDeadline       = 3 * time.Second
-	shutdownAcceptTime    = 450 * time.Millisecond // clients connect for up to 0.4 s
+	shutdownAcceptTime    = 450 * time.Millisecond // shortest time of accepting after the signal; clients connect for up to 0.4 s
 	finalAnswerMargin     = 100*time.Millisecond + maxSignalDelay
 	connectionCloseMargin = 220*time.Millisecond + maxSignalDelay
 	closeAfterAnswerTime  = 100 * time.Millisecond
-	idleCloseTime         = 20 * time.Millisecond // for idle connections to end by themselves
+	idleCloseTime         = 20 * time.Millisecond // time for idle connections to close after they were told to
 
-	readTimeout       = 2 * time.Second  // a client may take so long over a head and body together
-	answerWriteMargin = 12 * time.Second // to write an answer, beyond the longest deadline
-	idleTimeout       = 30 * time.Second // some ask once and never close
+	readTimeout       = 2 * time.Second  // limit on reading the head and body of a request
+	answerWriteMargin = 12 * time.Second // time to write an answer, beyond the longest deadline
+	idleTimeout       = 30 * time.Second // limit on an idle connection; some clients send one request and never close
 	maxHeaderBytes    = 16 << 10
 
-	// longList is the number of known servers above which the memory that it took to read
-	// them is given back after the start, several times what is kept of them.
+	// longListServers is the number of known servers above which the node returns memory to the system after the
+	// start. Reading the servers takes several times the memory that is kept.
 	longListServers = 5000
 )
 
-// Run serves until ctx ends, then drains: it goes on accepting for a while,
-// answers all that it took and returns nil. A signal of reloads makes it take over
-// what can change while it runs.
+// Run serves requests until ctx ends. It then drains: it accepts connections for a while, answers all requests that
+// it has read and returns nil. At a signal of the reloader it applies the settings that can change while it runs.
 func Run(ctx context.Context, config Config, reloader ConfigReloader, log *slog.Logger) error {
 	if config.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(config.MemoryMB) << 20 * 3 / 4)
@@ -61,7 +61,7 @@
 	return serve(ctx, config, listener, reloader, log)
 }
 
-// longest is the longest deadline.
+// longestDeadline returns the longest deadline of the classes.
 func longestDeadline(classes []policy.Class) (deadline time.Duration) {
 	for _, class := range classes {
 		deadline = max(deadline, class.Deadline)
@@ -69,23 +69,25 @@
 	return deadline
 }
 
-// drainTime is how long a node that was told to end lives at least.
+// timeUntilKill returns the shortest time between the signal to stop and the kill.
 func timeUntilKill(classes []policy.Class) time.Duration {
 	return min(longestDeadline(classes), maxKillDeadline) + killMargin
 }
 
-// writeLimit is when an answer is written at the latest, from the request's head on.
+// answerWriteTimeout returns the time from the end of a request's head by which its answer must be written.
 func answerWriteTimeout(classes []policy.Class) time.Duration {
 	return longestDeadline(classes) + answerWriteMargin
 }
 
+// serve runs a node on a listener until ctx ends and the node has drained. See Run.
 func serve(ctx context.Context, config Config, listener net.Listener, reloader ConfigReloader, log *slog.Logger) error {
 	defer listener.Close()
 	clock := newClock()
 	settings := config.Site.Policy
 	settings.ConfirmCachedList, settings.LongPolling = true, true
-	// A request in work takes a descriptor at each side and a second copy one more at
-	// the servers'; clients also have idle connections, and some that say nothing.
+	// A request in work takes one descriptor for its client and one for its server, and a hedged attempt takes
+	// another one for a server. Clients also have idle connections, and some that never send anything. So servers
+	// get slightly less than half.
 	servers := (config.Sockets - reservedSockets) * 9 / 20
 	clients := newClientConns(config.Sockets - reservedSockets - servers)
 	upstream := newUpstream(config.Site.ConnIdleTimeout, config.Site.ConnectTimeout, servers)
@@ -106,7 +108,7 @@
 	discovery.attachTo(loop)
 
 	known := config.KnownList
-	config.KnownList = listMessage{} // it may be long, and is of no use once it is handed on
+	config.KnownList = listMessage{} // the list may be long, and is not needed after it has been passed on
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	go loop.run(background)
