--- a/internal/node/discovery_service_test.go
+++ b/internal/node/discovery_service_test.go
@@ -14,33 +14,33 @@
 	"time"
 )
 
-// workCosts is what discovery's calls cost it. It works through calls in turn, so a call waits
-// for all that came before; one that would wait for longer than patience fails, and costs as much.
+// serviceCosts is the time that the stand-in for discovery takes for its work. It works on one call after the other,
+// so a call waits for all earlier ones. A call that would wait longer than queueTimeout fails, and costs the same.
 type serviceCosts struct {
-	perCall      time.Duration // a call
-	perEntry     time.Duration // and each line of a whole list besides
+	perCall      time.Duration // cost of a call
+	perEntry     time.Duration // additional cost of each entry of a whole list
 	queueTimeout time.Duration
 
-	freeContinuedWatches bool // a call that comes within watchGap of the last answer goes on with its watch and costs nothing
+	freeContinuedWatches bool // whether calls within watchContinuationWindow of the last answer cost nothing
 }
 
-// watchGap is the time within which the next call goes on with a watch.
+// watchContinuationWindow is the time after an answer within which the next call continues the watch.
 const watchContinuationWindow = 200 * time.Millisecond
 
-// serviceCounts is what discovery was asked and has told.
+// serviceCounts counts the calls to the stand-in for discovery and its answers.
 type serviceCounts struct {
 	calls          int
 	wholeLists     int   // answers that were whole lists
 	changes        int   // answers that held changes
-	unchanged      int   // watches whose time ended without one
-	failed         int   // calls that waited too long
-	changedEntries int   // of changes, over all answers
-	wholeBytes     int64 // bodies of whole lists
-	changeBytes    int64 // bodies of changes
+	unchanged      int   // watches whose time ended without a change
+	failed         int   // calls that failed after queueTimeout
+	changedEntries int   // entries in all answers that held changes
+	wholeBytes     int64 // size of all answers that were whole lists
+	changeBytes    int64 // size of all answers that held changes
 }
 
-// discoveryService stands in for discovery as the one service for all nodes. It speaks the
-// published protocol, counts what it is asked, and takes time for its work.
+// discoveryService is a stand-in for discovery as the single service of all nodes. It implements the published
+// protocol, counts its calls, and takes time for its work.
 type discoveryService struct {
 	*httptest.Server
 	costs   serviceCosts
@@ -49,20 +49,21 @@
 	mu             sync.Mutex
 	version        int64
 	entries        map[string]listEntry
-	changeLog      []listEntry      // the line that changed with each version after firstRev
-	encodedAnswers map[int64][]byte // encoded answers of this version, by the version asked from
+	changeLog      []listEntry      // entry that changed with each version after firstVersion
+	encodedAnswers map[int64][]byte // encoded answers of the present version, by the version since which a call asks
 	changed        chan struct{}    // closed and replaced at each change
 	busyUntil      time.Time
-	lastAnswerAt   map[string]time.Time // when a node's connection had its last answer, with watchesGoOn
+	lastAnswerAt   map[string]time.Time // time of the last answer on each connection, by the node's address
 	counts         serviceCounts
 }
 
-// firstRev is the version of discovery's first list.
+// firstVersion is the version of discovery's first list.
 const firstVersion = 1
 
-// sinceNothing asks for the whole list.
+// noVersion stands for a call that names no version and asks for the whole list.
 const noVersion = 0
 
+// newDiscoveryService starts a stand-in for discovery that lists the entries and ends with the test.
 func newDiscoveryService(tb testing.TB, costs serviceCosts, entries []listEntry) *discoveryService {
 	tb.Helper()
 	d := &discoveryService{
@@ -82,7 +83,7 @@
 	return d
 }
 
-// change makes a new version with one changed line and gives its number.
+// change makes a new version with one changed entry and returns its number.
 func (d *discoveryService) change(entry listEntry) int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -99,14 +100,14 @@
 	return d.version
 }
 
-// list gives the whole list, as a node's configuration may hold it.
+// list returns the whole list, as a node's configuration may hold it.
 func (d *discoveryService) list() listMessage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.wholeList()
 }
 
-// counted gives the counts so far.
+// countsSoFar returns the counts so far.
 func (d *discoveryService) countsSoFar() serviceCounts {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -150,15 +151,15 @@
 	d.lastAnswerAt[r.RemoteAddr] = time.Now()
 }
 
-// goesOn tells whether a call goes on with its node's watch at no cost.
+// continuesWatch reports whether a call continues the watch of its node at no cost.
 func (d *discoveryService) continuesWatch(nodeAddr string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.costs.freeContinuedWatches && time.Since(d.lastAnswerAt[nodeAddr]) < watchContinuationWindow
 }
 
-// work takes a call's turn; false if that would come too late. The time it takes stands for
-// the work, nothing is synchronized by it.
+// waitForTurn waits for the time that the work on earlier calls and on this one takes, and returns false if that is
+// longer than queueTimeout. The wait only simulates the work.
 func (d *discoveryService) waitForTurn(ctx context.Context, whole bool) bool {
 	d.mu.Lock()
 	cost := d.costs.perCall
@@ -188,7 +189,7 @@
 	return inTime
 }
 
-// awaitNews waits until there is something newer than a version, for some time at most.
+// awaitChange waits until there is a later version, or until the wait is over.
 func (d *discoveryService) awaitChange(ctx context.Context, since int64, wait time.Duration) {
 	d.mu.Lock()
 	changed, isNewer := d.changed, d.version > since
@@ -205,7 +206,7 @@
 	}
 }
 
-// answer gives what is newer than a version, and counts it.
+// answer returns the text of what is newer than a version, and counts the answer.
 func (d *discoveryService) answer(since int64) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -227,7 +228,8 @@
 	return body, nil
 }
 
-// encode gives the text of what is newer than a version, which is made once for all nodes.
+// encode returns the text of what is newer than a version. It encodes each text once for all nodes, and
+// needs the lock.
 func (d *discoveryService) encode(since int64) ([]byte, error) {
 	if body, known := d.encodedAnswers[since]; known {
 		return body, nil
@@ -240,6 +242,7 @@
 	return body, nil
 }
 
+// listSince returns what is newer than a version. It needs the lock.
 func (d *discoveryService) listSince(since int64) listMessage {
 	if since == noVersion {
 		return d.wholeList()
@@ -247,6 +250,7 @@
 	return listMessage{Version: d.version, Entries: d.changeLog[since-firstVersion:]}
 }
 
+// wholeList returns the whole list. It needs the lock.
 func (d *discoveryService) wholeList() listMessage {
 	whole := listMessage{Version: d.version, IsWhole: true, Entries: make([]listEntry, 0, len(d.entries))}
 	for _, entry := range d.entries {
@@ -255,12 +259,12 @@
 	return whole
 }
 
-// traffic counts the bytes on discovery's connections, heads included.
+// traffic counts the bytes on discovery's connections, including the heads of calls and answers.
 type traffic struct {
 	toNodes, fromNodes atomic.Int64
 }
 
-// countingListener counts what goes over the connections that it accepts.
+// countingListener counts the traffic of the connections that it accepts.
 type countingListener struct {
 	net.Listener
 	traffic *traffic
@@ -275,6 +279,7 @@
 	return countingConn{accepted, l.traffic}, nil
 }
 
+// countingConn counts the traffic of one connection.
 type countingConn struct {
 	net.Conn
 	traffic *traffic
--- a/internal/node/fleet_scale_test.go
+++ b/internal/node/fleet_scale_test.go
@@ -15,11 +15,10 @@
 	"otterstep/policy"
 )
 
-// How changes reach a fleet, with hollow nodes in one process before a stand-in for
-// discovery. The tests assert outcomes, counts and ratios; the benchmarks print the slopes that
-// docs/CAPACITY.md rests on.
+// This file has tests of how changes reach a fleet of headless nodes in one process that call a stand-in for discovery.
+// The tests assert outcomes, counts and ratios. The benchmarks print the figures for docs/CAPACITY.md.
 
-// The operators' target.
+// These constants are the operators' target: the size of the fleet and the load that it must serve.
 const (
 	targetNodes             = 5300
 	targetServers           = 55_000
@@ -27,15 +26,15 @@
 )
 
 const (
-	fleetServers         = 200
-	shortMaxCallInterval = 2 * time.Second  // nodes that start spread their first calls over 7/8 of it
-	siteMaxCallInterval  = 10 * time.Second // as deployments have it
+	fleetServers            = 200
+	shortMaxCallInterval    = 2 * time.Second  // nodes that start spread their first calls over 7/8 of this time
+	deployedMaxCallInterval = 10 * time.Second // value in deployments
 
-	minWatch = 500 * time.Millisecond // that the module asks for
+	minWatch = 500 * time.Millisecond // shortest watch that the module requests
 )
 
-// nextChange gives the lines of a fleet that lives: a server drains, leaves and is followed by a
-// new one, over and over.
+// nextChange returns the changed entry of the nth change of a fleet: in turn, a server drains, is terminated and is
+// replaced by a new one.
 func nextChange(n int) listEntry {
 	entry := fleetEntry(n / 3 % fleetServers)
 	switch n % 3 {
@@ -49,7 +48,7 @@
 	return entry
 }
 
-// requireSameServers checks that each node knows what discovery lists.
+// requireSameServers checks that each node knows exactly the servers that discovery lists.
 func (f *headlessFleet) requireSameServers() {
 	f.tb.Helper()
 	want := map[policy.ServerID]string{}
@@ -58,27 +57,27 @@
 	}
 	for i, n := range f.nodes {
 		if got := n.endpoints(); !maps.Equal(got, want) {
-			f.tb.Errorf("node %d knows %d servers, discovery lists %d: they differ", i, len(got), len(want))
+			f.tb.Errorf("node %d knows %d servers, which differ from the %d that discovery lists", i, len(got), len(want))
 		}
 	}
 }
 
-// requireFewCalls checks that no node called more often than it had to: a call ends with a whole
-// list, once in a life at most, with changes, at the end of a watch's time, or in failure, and the
-// last one of a life is broken off.
+// requireFewCalls checks that no node made more calls than it needs. A call ends with a whole list, at most once for
+// each start of a node, with changes, at the end of a watch's time, or in failure. The last call of each run is
+// cancelled.
 func (f *headlessFleet) requireFewCalls(starts, changes int, elapsed time.Duration) {
 	f.tb.Helper()
 	watches := int(elapsed / minWatch)
 	for i, n := range f.nodes {
 		maxCalls := 2*starts + changes + watches + int(n.calls.failed.Load()+n.calls.overlapping.Load())
 		if calls := int(n.calls.made.Load()); calls > maxCalls {
-			f.tb.Errorf("node %d made %d calls, %d at most are due", i, calls, maxCalls)
+			f.tb.Errorf("node %d made %d calls, want at most %d", i, calls, maxCalls)
 		}
 	}
 }
 
-// steadyChanges has a fleet take changes one after the other and gives the bytes that one brings to
-// a node.
+// runSteadyChanges makes changes one after the other and waits until the fleet has each. It returns the bytes that one
+// change brings to a node.
 func runSteadyChanges(t *testing.T, nodes, changes int) (bytesEach float64) {
 	t.Helper()
 	begin := time.Now()
@@ -92,26 +91,25 @@
 	fleet.requireFewCalls(1, changes, time.Since(begin))
 	counts := service.countsSoFar()
 	if counts.wholeLists > 0 {
-		t.Errorf("%d whole lists went to nodes that knew a version", counts.wholeLists)
+		t.Errorf("%d whole lists were sent to nodes that knew a version, want none", counts.wholeLists)
 	}
 	if deliveries := fleet.propagation.changeToNode.TotalCount(); deliveries != int64(nodes*changes) {
-		t.Errorf("%d changes reached %d nodes %d times", changes, nodes, deliveries)
+		t.Errorf("%d changes to %d nodes were received %d times, want once for each node and change", changes, nodes, deliveries)
 	}
 	return float64(counts.changeBytes) / float64(counts.changedEntries)
 }
 
-// What a change costs on the way to a node does not depend on how many nodes there are, and every
-// node gets every change.
+// Guards against changes that get larger with the number of nodes, or that do not reach every node.
 func TestScaleChangeReachesEveryNodeAtTheSamePrice(t *testing.T) {
 	const few, many, changes = 25, 150, 9
 	small, large := runSteadyChanges(t, few, changes), runSteadyChanges(t, many, changes)
 	if large > 1.25*small {
-		t.Errorf("a change brings %.0f B to each of %d nodes, %.0f B to each of %d", small, few, large, many)
+		t.Errorf("a change brings %.0f B to each of %d nodes and %.0f B to each of %d, want at most 1.25 times as much", small, few, large, many)
 	}
 }
 
-// Nodes that restart in the midst of changes end up with all of them. Those that know a version
-// ask for what is newer alone; a whole list goes once to each of the others.
+// Guards nodes that restart between changes: they receive all changes. Nodes that know a version ask only for what is
+// newer, and each of the others gets one whole list.
 func TestScaleRestartedNodesCatchUp(t *testing.T) {
 	const nodes, changesBefore, changesDuring = 150, 3, 12
 	begin := time.Now()
@@ -120,14 +118,14 @@
 	}, fleetEntries(fleetServers))
 	fleet := newHeadlessFleet(t, nodes, shortMaxCallInterval, service)
 	fleet.start(service.list())
-	var rev int64
+	var version int64
 	for n := range changesBefore {
-		rev = fleet.change(nextChange(n))
-		fleet.awaitVersion(rev)
+		version = fleet.change(nextChange(n))
+		fleet.awaitVersion(version)
 	}
 	restarted, unknown := fleet.everyNth(10), 0
 	for n := range changesDuring {
-		rev = fleet.change(nextChange(changesBefore + n))
+		version = fleet.change(nextChange(changesBefore + n))
 		if n != changesDuring/2 {
 			continue
 		}
@@ -139,20 +137,20 @@
 			return service.list()
 		})
 	}
-	fleet.awaitVersion(rev)
+	fleet.awaitVersion(version)
 	fleet.requireSameServers()
 	fleet.requireFewCalls(2, changesBefore+changesDuring, time.Since(begin))
 	lists := service.countsSoFar().wholeLists
 	failed, _ := fleet.failedCalls()
 	if lists < unknown || lists > unknown+failed {
-		t.Errorf("%d whole lists for %d nodes that knew no version; %d calls failed", lists, unknown, failed)
+		t.Errorf("%d whole lists for %d nodes that knew no version, %d calls failed; want one list for each, and at most one more for each failure", lists, unknown, failed)
 	}
 	if completed := fleet.propagation.changeToLastNode.TotalCount(); completed != changesBefore+changesDuring {
-		t.Errorf("%d of %d changes reached every node", completed, changesBefore+changesDuring)
+		t.Errorf("%d of %d changes reached every node, want all", completed, changesBefore+changesDuring)
 	}
 }
 
-// A fleet that starts with no list gets one for each node, without asking again and again.
+// Guards against a fleet without a list that requests it again and again: each node gets one whole list.
 func TestScaleFleetWithNoListGetsItOnce(t *testing.T) {
 	const nodes = 150
 	service := newDiscoveryService(t, serviceCosts{
@@ -164,57 +162,59 @@
 	fleet.requireSameServers()
 	lists := service.countsSoFar().wholeLists
 	if failed, _ := fleet.failedCalls(); lists > nodes+failed {
-		t.Errorf("%d whole lists for %d nodes; %d calls failed", lists, nodes, failed)
+		t.Errorf("%d whole lists for %d nodes, %d calls failed; want at most one list for each node and each failure", lists, nodes, failed)
 	}
 }
 
-// measuredCall is what a call from a known version took the discovery of a day with 300 nodes and 167
-// servers, and measuredPatience how long one waited there before it failed.
+// loadedCallCost is the time that a call from a known version takes a discovery with 300 nodes and 167 servers, and
+// loadedQueueTimeout the time that a call waits there before it fails.
 const (
 	loadedCallCost     = 10400 * time.Microsecond
 	loadedQueueTimeout = time.Second
 )
 
-// startTogether starts some nodes of a fleet at once, which know the list as it was before a change,
-// and waits until each was told of it.
+// startTogether starts some nodes of a fleet at once, which know the list as it was before a change, and waits until
+// each has the change.
 func startTogether(tb testing.TB, size, started int) *headlessFleet {
 	tb.Helper()
 	costs := serviceCosts{perCall: loadedCallCost, queueTimeout: loadedQueueTimeout, freeContinuedWatches: true}
 	service := newDiscoveryService(tb, costs, fleetEntries(fleetServers))
-	fleet := newHeadlessFleet(tb, started, siteMaxCallInterval, service)
-	fleet.site = fleetSite(tb, size, siteMaxCallInterval)
+	fleet := newHeadlessFleet(tb, started, deployedMaxCallInterval, service)
+	fleet.settings = fleetNodeSettings(tb, size, deployedMaxCallInterval)
 	known := service.list()
-	rev := fleet.change(nextChange(0))
+	version := fleet.change(nextChange(0))
 	fleet.start(known)
-	fleet.awaitVersion(rev)
+	fleet.awaitVersion(version)
 	return fleet
 }
 
-// Nodes that start together are told in the time that they have, and don't choke discovery.
+// Guards against nodes that start together and overload discovery: most of them learn of a change in time, and few calls
+// fail.
 func TestScaleNodesThatStartTogetherAreToldInTime(t *testing.T) {
 	for _, started := range []int{1, 30, 210} {
 		t.Run(fmt.Sprint(started), func(t *testing.T) {
 			t.Parallel()
 			fleet := startTogether(t, 300, started)
-			told := fleet.propagation.startToCurrent
-			t.Logf("%d nodes are told after %v at the median, %v at the 90th percentile, %v at most", started,
-				microseconds(told.ValueAtQuantile(50)), microseconds(told.ValueAtQuantile(90)), microseconds(told.Max()))
-			if late := microseconds(told.ValueAtQuantile(90)); late > 10*time.Second {
-				t.Errorf("nine in ten nodes are told after %v", late)
+			delays := fleet.propagation.startToCurrent
+			t.Logf("%d nodes have the change after %v at the median, %v at the 90th percentile, %v at most", started,
+				microseconds(delays.ValueAtQuantile(50)), microseconds(delays.ValueAtQuantile(90)), microseconds(delays.Max()))
+			if late := microseconds(delays.ValueAtQuantile(90)); late > 10*time.Second {
+				t.Errorf("nine in ten nodes have the change only after %v, want at most 10 s", late)
 			}
 			if failed, _ := fleet.failedCalls(); failed > started/2 {
-				t.Errorf("%d calls of %d nodes failed", failed, started)
+				t.Errorf("%d calls of %d nodes failed, want at most one for two nodes", failed, started)
 			}
 		})
 	}
 }
 
+// microseconds converts a value of a histogram.
 func microseconds(count int64) time.Duration { return time.Duration(count) * time.Microsecond }
 
-// ---- benchmarks: the slopes
+// ---- benchmarks
 
-// BenchmarkScaleStartTogether is nodes that start at once and know the list of before a change: the time
-// until they are told, and their calls up to the last one's.
+// BenchmarkScaleStartTogether starts nodes at once that know the list as it was before a change. It reports the time
+// until they have the change, and the failed calls until the last one has it.
 func BenchmarkScaleStartTogether(b *testing.B) {
 	for _, c := range []struct{ size, started int }{{300, 1}, {300, 30}, {300, 210}, {900, 630}} {
 		b.Run(fmt.Sprintf("nodes=%d/started=%d", c.size, c.started), func(b *testing.B) {
@@ -229,7 +229,7 @@
 	}
 }
 
-// fleetSizes are numbers of hollow nodes, up to those of a region, or what the environment asks for.
+// fleetSizes returns numbers of headless nodes, up to those of a region, or the number that OTTERSTEP_SCALE_NODES sets.
 func fleetSizes(b *testing.B) []int {
 	b.Helper()
 	text := os.Getenv("OTTERSTEP_SCALE_NODES")
@@ -243,13 +243,14 @@
 	return []int{nodes}
 }
 
-// changesGap is the mean time between changes, which come at random. The target has one in 4 s;
-// here they come 20 times as often, so that a short run has many.
+// changesGap is the mean time between changes, which are made at random times. The operators' target has one change in
+// 4 s; here there are 20 times as many, so that a short run has enough.
 const changesGap = 200 * time.Millisecond
 
-// benchmarkCosts are a guess at discovery's: what its work takes is told nowhere.
+// benchmarkCosts are assumed costs, as those of a real discovery are not published.
 var benchmarkCosts = serviceCosts{perCall: time.Millisecond, perEntry: 5 * time.Microsecond, queueTimeout: time.Second}
 
+// reportQuantiles reports quantiles and the maximum of the times in milliseconds.
 func reportQuantiles(b *testing.B, name string, times *hdrhistogram.Histogram) {
 	for _, quantile := range []float64{50, 90, 99} {
 		b.ReportMetric(float64(times.ValueAtQuantile(quantile))/1000, fmt.Sprintf("%s-p%.0f-ms", name, quantile))
@@ -257,7 +258,7 @@
 	b.ReportMetric(float64(times.Max())/1000, name+"-max-ms")
 }
 
-// processTime is the processor time of the whole process.
+// processCPUTime returns the processor time that the process has used.
 func processCPUTime(b *testing.B) time.Duration {
 	b.Helper()
 	var used unix.Timespec
@@ -267,13 +268,13 @@
 	return time.Duration(used.Nano())
 }
 
-// startRegion starts a fleet whose nodes know no list, as a region that has lost all its processes,
-// and waits until each has one. The returned function reports what that took; metrics that
-// are reported before a benchmark's loop are lost.
+// startRegion starts a fleet whose nodes know no list, as after the loss of all processes of a region, and waits until
+// each has one. The returned function reports the cost of the start; it is called after the benchmark's loop, because
+// metrics that are reported before the loop are lost.
 func startRegion(b *testing.B, nodes int) (started *headlessFleet, report func()) {
 	b.Helper()
 	service := newDiscoveryService(b, benchmarkCosts, fleetEntries(fleetServers))
-	fleet := newHeadlessFleet(b, nodes, siteMaxCallInterval, service)
+	fleet := newHeadlessFleet(b, nodes, deployedMaxCallInterval, service)
 	begin := time.Now()
 	fleet.start(listMessage{})
 	fleet.awaitVersion(firstVersion)
@@ -286,27 +287,27 @@
 	}
 }
 
-// playChanges makes a change in each iteration and reports how they spread; during is called
-// in each iteration.
+// runChanges makes a change in each iteration and reports how the changes reach the nodes. It calls during in each
+// iteration.
 func runChanges(b *testing.B, nodes int, during func(fleet *headlessFleet, iteration int)) {
 	fleet, reportStart := startRegion(b, nodes)
 	before := fleet.service.countsSoFar()
-	failedBefore, besideBefore := fleet.failedCalls()
+	failedBefore, overlappingBefore := fleet.failedCalls()
 	toNodesBefore := fleet.service.traffic.toNodes.Load()
 	fromNodesBefore, cpuBefore, begin := fleet.service.traffic.fromNodes.Load(), processCPUTime(b), time.Now()
 	random := rand.New(rand.NewPCG(1, 1))
 	gap := time.NewTimer(0)
 	defer gap.Stop()
-	var rev int64
+	var version int64
 	changes := 0
 	for b.Loop() {
 		<-gap.C
-		rev = fleet.change(nextChange(changes))
+		version = fleet.change(nextChange(changes))
 		during(fleet, changes)
 		changes++
 		gap.Reset(time.Duration(random.ExpFloat64() * float64(changesGap)))
 	}
-	fleet.awaitVersion(rev)
+	fleet.awaitVersion(version)
 	elapsed, counts := time.Since(begin).Seconds(), fleet.service.countsSoFar()
 	fleet.requireSameServers()
 	each := float64(nodes)
@@ -314,9 +315,9 @@
 	reportQuantiles(b, "node", fleet.propagation.changeToNode)
 	reportQuantiles(b, "last", fleet.propagation.changeToLastNode)
 	b.ReportMetric(float64(counts.calls-before.calls)/each/elapsed, "calls/node/s")
-	failed, beside := fleet.failedCalls()
+	failed, overlapping := fleet.failedCalls()
 	b.ReportMetric(float64(failed-failedBefore), "failed-calls")
-	b.ReportMetric(float64(beside-besideBefore), "calls-beside")
+	b.ReportMetric(float64(overlapping-overlappingBefore), "calls-beside")
 	b.ReportMetric(float64(counts.changeBytes)/float64(max(1, counts.changedEntries)), "B/line")
 	b.ReportMetric(float64(fleet.service.traffic.toNodes.Load()-toNodesBefore)/each/elapsed, "B-to/node/s")
 	b.ReportMetric(float64(fleet.service.traffic.fromNodes.Load()-fromNodesBefore)/each/elapsed, "B-from/node/s")
@@ -326,8 +327,8 @@
 	}
 }
 
-// BenchmarkScaleFleet is changes that come five a second on average to a fleet of hollow nodes.
-// %core/node has discovery's part in it.
+// BenchmarkScaleFleet makes five changes a second on average for a fleet of headless nodes. %core/node includes the
+// processor time of discovery.
 func BenchmarkScaleFleet(b *testing.B) {
 	for _, nodes := range fleetSizes(b) {
 		b.Run(fmt.Sprintf("nodes=%d", nodes), func(b *testing.B) {
@@ -336,8 +337,8 @@
 	}
 }
 
-// BenchmarkScaleFleetRestart is the same while a tenth of the nodes restart, over and over, with
-// the list that discovery has at that moment.
+// BenchmarkScaleFleetRestart is BenchmarkScaleFleet while a tenth of the nodes restart again and again, with the list
+// that discovery has at that time.
 func BenchmarkScaleFleetRestart(b *testing.B) {
 	const every = 10 // changes between restarts
 	for _, nodes := range fleetSizes(b) {
--- a/internal/node/list_cost_test.go
+++ b/internal/node/list_cost_test.go
@@ -14,7 +14,7 @@
 	"otterstep/policy"
 )
 
-// neverEnding is a discovery that answers each call at once with a later version, and never ends its answer.
+// neverEndingDiscovery answers each call at once with a later version, and never ends the body of its answer.
 type neverEndingDiscovery struct {
 	openAnswers, maxOpenAnswers, calls atomic.Int64
 }
@@ -32,19 +32,20 @@
 	<-r.Context().Done()
 }
 
-// The connections to discovery that a node holds have a bound: a few descriptors are all it has for them.
+// Guards the node's descriptors: it reserves only a few for discovery, so answers whose bodies never end may hold only
+// few connections.
 func TestAnswersThatNeverEndHoldFewConnections(t *testing.T) {
-	for mode, onRequest := range map[string]bool{"pushed": false, "asked": true} {
+	for mode, onRequest := range map[string]bool{"pushed": false, "on request": true} {
 		t.Run(mode, func(t *testing.T) {
 			var handler neverEndingDiscovery
 			service := httptest.NewServer(&handler)
 			t.Cleanup(func() { service.CloseClientConnections(); service.Close() })
-			site := parseTestSite(t, testSettings)
-			settings := site.Policy
-			settings.LongPolling, settings.ListOnRequest = true, onRequest
+			settings := parseTestSite(t, testSettings)
+			policySettings := settings.Policy
+			policySettings.LongPolling, policySettings.ListOnRequest = true, onRequest
 			c := newClock()
-			client := newDiscoveryClient(service.Listener.Addr().String(), site, c, slog.New(slog.DiscardHandler))
-			l, err := newLoop(settings, 1, c, newUpstream(time.Hour, testTimeout, 8), client.commands)
+			client := newDiscoveryClient(service.Listener.Addr().String(), settings, c, slog.New(slog.DiscardHandler))
+			l, err := newLoop(policySettings, 1, c, newUpstream(time.Hour, testTimeout, 8), client.commands)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -57,14 +58,15 @@
 			waitFor(t, "calls", func() bool { return handler.calls.Load() > 3 })
 			time.Sleep(2 * time.Second)
 			if maxOpen := handler.maxOpenAnswers.Load(); maxOpen > reservedSockets {
-				t.Errorf("%d connections to discovery at once in %d calls, of %d descriptors for all that is neither clients' nor servers'",
+				t.Errorf("%d connections to discovery at once in %d calls, want at most %d, the descriptors not for clients or servers",
 					maxOpen, handler.calls.Load(), reservedSockets)
 			}
 		})
 	}
 }
 
-// A list that puts many servers into service that are held out of it is logged in few lines: the loop writes them.
+// Guards against a loop that is busy with logging: a list that puts many held servers into service is logged in few
+// lines.
 func TestManyServersThatAreHeldAreLoggedInFewLines(t *testing.T) {
 	const servers = 5000
 	l := newTestLoop(t)
@@ -86,32 +88,34 @@
 	}
 }
 
-// Lines that come one by one take the servers out one by one: that is logged in few lines, too.
+// Guards against a log line for each server: entries that arrive one by one take servers out of service one by one,
+// and few lines are logged.
 func TestAnswerInManyPiecesIsLoggedInFewLines(t *testing.T) {
-	const pieces = 1000
+	const parts = 1000
 	client, _ := clientAtVersion41(t)
 	var text bytes.Buffer
 	client.callLog.logger = slog.New(slog.NewTextHandler(&text, nil))
 	call := addCallInFlight(client, 1)
-	for i := range pieces {
+	for i := range parts {
 		list := parseList(t, `{"rev":42,"targets":[`+entryText(fmt.Sprint("leaves-", i), "terminating")+`]}`)
 		client.applyReply(callReply{call: call, list: list, isPartial: true})
 	}
 	if lines := bytes.Count(text.Bytes(), []byte("\n")); lines > 4*maxLoggedServers {
-		t.Errorf("an answer in %d pieces is logged in %d lines", pieces, lines)
+		t.Errorf("an answer in %d parts is logged in %d lines", parts, lines)
 	}
 }
 
-// Guards rule 3: what a whole list leaves out is gone once its lines have come, whenever its last brace does.
+// Guards against requests to a server that is gone: a server that a whole list omits is gone once all entries have
+// arrived, even if the closing brace is late.
 func TestServersThatAListOmitsAreGoneOnceItsEntriesHaveCome(t *testing.T) {
 	reports := func(texts ...string) (reported bool) {
 		outOfService, _, whole, _ := readReportingProgress(&chunkedReader{texts, http.ErrBodyReadAfterClose})
 		return len(outOfService) > 0 || whole >= 0
 	}
 	if !reports(`{"rev":2,"all":true,"targets":[` + inServiceEntryText + `]}`) {
-		t.Error("a whole message is not told of")
+		t.Error("a complete message is not reported")
 	}
 	if !reports(`{"rev":2,"all":true,"targets":[` + inServiceEntryText + `]`) {
-		t.Error("nothing is told of a whole list whose lines, version and kind have come, before its last brace")
+		t.Error("a whole list is not reported before its last brace, though its entries, version and kind have arrived")
 	}
 }
--- a/internal/node/list_scale_test.go
+++ b/internal/node/list_scale_test.go
@@ -9,20 +9,19 @@
 	"testing"
 )
 
-// What whole lists and changes of one line cost a node, from discovery's text through the loop to
-// the policy. The test asserts a ratio; the benchmarks print the slopes that docs/CAPACITY.md
-// rests on.
+// This file has the cost of whole lists and of changes of one entry at a node, from discovery's text through the loop
+// to the policy. The test asserts a ratio. The benchmarks print the figures for docs/CAPACITY.md.
 
-// scaleListSizes are numbers of servers, up to the target's.
+// scaleListSizes are numbers of servers, up to the operators' target.
 var scaleListSizes = []int{200, 1000, 5000, 20_000, targetServers}
 
-// scaleLoop gives a node's loop and a discovery client that hands lists to it at once.
+// scaleLoop returns a node's loop and a discovery client that calls the loop directly with each list.
 func scaleLoop(tb testing.TB, servers int) (*loop, *discoveryClient) {
 	tb.Helper()
-	site := fleetSite(tb, max(1, servers*targetNodes/targetServers), siteMaxCallInterval)
+	settings := fleetNodeSettings(tb, max(1, servers*targetNodes/targetServers), deployedMaxCallInterval)
 	c := newClock()
-	client := newDiscoveryClient("", site, c, slog.New(slog.DiscardHandler))
-	l, err := newLoop(site.Policy, 1, c, newUpstream(site.ConnIdleTimeout, site.ConnectTimeout, 0), client.commands)
+	client := newDiscoveryClient("", settings, c, slog.New(slog.DiscardHandler))
+	l, err := newLoop(settings.Policy, 1, c, newUpstream(settings.ConnIdleTimeout, settings.ConnectTimeout, 0), client.commands)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -32,16 +31,16 @@
 	return l, client
 }
 
-// heapBytes is what is on the heap once garbage is collected.
+// heapBytes returns the size of the heap after a garbage collection.
 func heapBytes() float64 {
 	runtime.GC()
-	runtime.GC() // a second time, for what the first has only marked to be freed
+	runtime.GC() // the second run frees what the first one only marked
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return float64(stats.HeapAlloc)
 }
 
-// take reads a list's text and hands it on, as a call does with an answer's body.
+// acceptText reads a list's text and accepts it, as a call does with the body of its answer.
 func acceptText(tb testing.TB, client *discoveryClient, text []byte) {
 	tb.Helper()
 	list, err := readList(bytes.NewReader(text), client.zones, client.clock)
@@ -51,7 +50,7 @@
 	client.accept(list)
 }
 
-// encodeMessage gives a whole list, or changes to one, as the text of discovery's message.
+// encodeMessage returns the text of discovery's message with a whole list or changes to it.
 func encodeMessage(tb testing.TB, list listMessage) []byte {
 	tb.Helper()
 	text, err := json.Marshal(list)
@@ -61,8 +60,8 @@
 	return text
 }
 
-// changeGarbage is how many bytes a node allocates for a change of one line, from its text to the
-// policy.
+// allocatedBytesPerChange returns the number of bytes that a node allocates for a change of one entry, from its text
+// to the policy.
 func allocatedBytesPerChange(t *testing.T, servers int) float64 {
 	t.Helper()
 	const changes = 16
@@ -81,18 +80,19 @@
 	return float64(after.TotalAlloc-before.TotalAlloc) / changes
 }
 
-// A change of one line must not make a node copy what it knows of all servers.
+// Guards against a node that copies what it knows about all servers when one entry changes.
 func TestScaleChangeOfOneEntryMakesLittleGarbage(t *testing.T) {
 	const few, many = 500, 8000
 	small, large := allocatedBytesPerChange(t, few), allocatedBytesPerChange(t, many)
-	t.Logf("a change of one line allocates %.0f B before %d servers, %.0f B before %d", small, few, large, many)
+	t.Logf("a change of one entry allocates %.0f B with %d servers, %.0f B with %d", small, few, large, many)
 	if large > 2*small {
-		t.Errorf("a change of one line allocates %.0f B before %d servers, %.0f B before %d", small, few, large, many)
+		t.Errorf("a change of one entry allocates %.0f B with %d servers, %.0f B with %d; want at most twice as much", small, few, large, many)
 	}
 }
 
-// ---- benchmarks: the slopes
+// ---- benchmarks
 
+// eachListSize runs a benchmark with a whole list of each size.
 func eachListSize(b *testing.B, run func(b *testing.B, servers int, text []byte)) {
 	for _, servers := range scaleListSizes {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
@@ -101,8 +101,8 @@
 	}
 }
 
-// BenchmarkScaleNodeList is a whole list that a node reads and takes over, from the text to the
-// policy. It reports what the node holds of it and the garbage that reading makes.
+// BenchmarkScaleNodeList measures a whole list that a node reads and accepts, from the text to the policy. It reports
+// the memory that the node keeps for the list and what it allocates to read it.
 func BenchmarkScaleNodeList(b *testing.B) {
 	eachListSize(b, func(b *testing.B, servers int, text []byte) {
 		before := heapBytes()
@@ -119,7 +119,7 @@
 	})
 }
 
-// BenchmarkScaleNodeChange is a change of one line, from the text to the policy.
+// BenchmarkScaleNodeChange measures a change of one entry, from the text to the policy.
 func BenchmarkScaleNodeChange(b *testing.B) {
 	eachListSize(b, func(b *testing.B, servers int, text []byte) {
 		_, client := scaleLoop(b, servers)
--- a/internal/node/real_node_scale_test.go
+++ b/internal/node/real_node_scale_test.go
@@ -14,17 +14,16 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// realNode is one whole node, with a front, before servers that all stand at one address: each
-// has its own id, breaker and connections, and answers at once.
+// realNode is one complete node with a front, in front of servers that share one address. Each server has its own id,
+// breaker and connections, and answers at once.
 type realNode struct {
-	front, server string // addresses
+	front, server string // addresses of the node and of the servers
 	client        http.Client
-	connections   func() int // that the node has opened to servers
+	connections   func() int // number of connections that the node has opened to servers
 	requests      int
 }
 
-// startRealNode runs a node whose configuration holds the list, so that size is no matter of what
-// a call may bring.
+// startRealNode runs a node whose configuration holds the list, so its length is not limited by what a call can bring.
 func startRealNode(b *testing.B, nodes, servers int) *realNode {
 	b.Helper()
 	opened, openedMu := 0, sync.Mutex{}
@@ -45,18 +44,18 @@
 	go backends.Serve(listener)
 	b.Cleanup(func() { backends.Close() })
 
-	targets := fleetEntries(servers)
-	for i := range targets {
-		targets[i].Endpoint = listener.Addr().String()
+	entries := fleetEntries(servers)
+	for i := range entries {
+		entries[i].Endpoint = listener.Addr().String()
 	}
-	service := newDiscoveryService(b, serviceCosts{queueTimeout: time.Second}, targets)
+	service := newDiscoveryService(b, serviceCosts{queueTimeout: time.Second}, entries)
 	front, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
 	config := Config{
 		Name: "n0", Listen: front.Addr().String(), Discovery: service.Listener.Addr().String(), Seed: 1,
-		Sockets: 1024, KnownList: service.list(), Site: fleetSite(b, nodes, siteMaxCallInterval),
+		Sockets: 1024, KnownList: service.list(), Site: fleetNodeSettings(b, nodes, deployedMaxCallInterval),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -78,7 +77,7 @@
 	return node
 }
 
-// ask makes one request and tells how long its answer took, and whether it was served.
+// sendRequest sends one request and returns how long its answer took, and whether it was served.
 func (n *realNode) sendRequest(addr string, id int) (took time.Duration, served bool, err error) {
 	request, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/read/%d", addr, id), nil)
 	if err != nil {
@@ -99,7 +98,8 @@
 	return time.Since(begin), answer.StatusCode == http.StatusOK, nil
 }
 
-// play sends requests at the target's rate, whether or not others are answered, and waits for all.
+// sendAtTargetRate sends requests at the rate of the operators' target without waiting for earlier answers, and then
+// waits for all answers. It returns the number of requests that were served.
 func (n *realNode) sendAtTargetRate(b *testing.B, addr string, count int, times *hdrhistogram.Histogram) (served int) {
 	b.Helper()
 	var mu sync.Mutex
@@ -128,8 +128,8 @@
 	return served
 }
 
-// BenchmarkScaleRealNode is requests at the target's rate to one whole node of 5,300, and as many to
-// a server without the node between. Clients, node and servers share this process.
+// BenchmarkScaleRealNode sends requests at the rate of the operators' target to one complete node of a fleet of 5,300,
+// and others directly to a server. Clients, node and servers share this process.
 func BenchmarkScaleRealNode(b *testing.B) {
 	const requestsEach = 30
 	for _, servers := range []int{200, 500, 5000, 20_000, targetServers} {
@@ -137,17 +137,17 @@
 			node := startRealNode(b, targetNodes, servers)
 			direct, through := newHistogram(), newHistogram()
 			node.sendAtTargetRate(b, node.server, 300, direct)
-			node.sendAtTargetRate(b, node.front, 100, newHistogram()) // the first requests open connections
-			before, asked, served := processCPUTime(b), 0, 0
+			node.sendAtTargetRate(b, node.front, 100, newHistogram()) // opens connections before the measurement
+			before, requested, served := processCPUTime(b), 0, 0
 			opened, begin := node.connections(), time.Now()
 			for b.Loop() {
 				served += node.sendAtTargetRate(b, node.front, requestsEach, through)
-				asked += requestsEach
+				requested += requestsEach
 			}
 			elapsed := time.Since(begin).Seconds()
 			b.ReportMetric(100*(processCPUTime(b)-before).Seconds()/elapsed, "%core")
-			b.ReportMetric(100*float64(served)/float64(asked), "%served")
-			b.ReportMetric(float64(node.connections()-opened)/float64(asked), "connections/request")
+			b.ReportMetric(100*float64(served)/float64(requested), "%served")
+			b.ReportMetric(float64(node.connections()-opened)/float64(requested), "connections/request")
 			reportQuantiles(b, "direct", direct)
 			reportQuantiles(b, "through", through)
 		})
--- a/internal/node/target_list_test.go
+++ b/internal/node/target_list_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// A node has to take a list of the target's size, 8 MB of text, at the first call or the second.
-// Such a list must not be asked for again and again.
+// Guards against a node that requests a long list again and again: it has to accept a list of the target size, 8 MB of
+// text, at the first or second call.
 func TestScaleListOfTheTargetSizeIsAccepted(t *testing.T) {
 	const maxCalls = 2
 	service := newDiscoveryService(t, serviceCosts{queueTimeout: time.Second}, fleetEntries(targetServers))
 	service.mu.Lock()
-	_, err := service.encode(noVersion) // beforehand, so that the call's time is for the node
+	_, err := service.encode(noVersion) // before the call, so that the call takes no time for it
 	service.mu.Unlock()
 	if err != nil {
 		t.Fatal(err)
