--- a/internal/node/lives_test.go
+++ b/internal/node/incarnations_test.go
@@ -17,16 +17,16 @@
 	"otterstep/policy"
 )
 
-// sentTo submits requests to a loop that nobody runs and tells the addresses that their first attempts go to.
+// firstAttemptAddrs submits requests to a loop that does not run and returns the addresses of their first attempts.
 func firstAttemptAddrs(t *testing.T, l *loop) (addresses []string) {
 	t.Helper()
-	if l.lastRequestID == 0 { // no attempt uses it yet
+	if l.lastRequestID == 0 { // no attempt uses the dialer yet
 		l.upstream.dialer = func(ctx context.Context, _ string) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
 	}
-	var requests []*request // together: what is in flight has each server get some
+	var requests []*request // in flight together, so that each server gets some
 	for range 8 {
 		requests = append(requests, submitRead(l))
 	}
@@ -48,36 +48,36 @@
 	return r
 }
 
-// lifeOf is a line of server 1 at one of its starts.
+// incarnationOf returns an entry of server 1 with the given start.
 func incarnationOf(state policy.ServerState, started time.Duration) policy.Entry {
 	return policy.Entry{Server: 1, State: state, StartedAt: started}
 }
 
-// heard is a list or changes of a source at a version.
+// updateAt returns a list or changes of source 1 at a version.
 func updateAt(kind policy.ListKind, version int64, entries []policy.Entry, endpoints ...string) listUpdate {
 	return listUpdate{kind: kind, origin: policy.Origin{Source: 1, Version: version}, entries: entries, endpoints: endpoints}
 }
 
-// Guards rule 3: requests for a server go to the address of the life that the module has in service, never to
-// that of a former one.
+// Guards against requests to a former incarnation of a server: they go to the address of the incarnation that the module
+// has in service.
 func TestRequestsGoToTheAddressOfTheIncarnationInService(t *testing.T) {
 	const former, present = "127.0.0.1:1", "127.0.0.1:2"
 	startedAt := clockOrigin
-	for name, play := range map[string]func(l *loop){
-		"changes name the former life behind the new one": func(l *loop) {
+	for name, deliver := range map[string]func(l *loop){
+		"changes name the former incarnation after the new one": func(l *loop) {
 			l.applyListUpdate(updateAt(policy.ListChanges, 11, []policy.Entry{
 				incarnationOf(policy.StateInService, startedAt), incarnationOf(policy.StateDraining, startedAt-time.Hour)}, present, former))
 		},
-		"changes name the end of the former life behind the new one": func(l *loop) {
+		"changes name the end of the former incarnation after the new one": func(l *loop) {
 			l.applyListUpdate(updateAt(policy.ListChanges, 11, []policy.Entry{
 				incarnationOf(policy.StateInService, startedAt), incarnationOf(policy.StateGone, startedAt-time.Hour)}, present, former))
 		},
-		"a list of before, long after the new life": func(l *loop) {
+		"an old list, long after the new incarnation": func(l *loop) {
 			l.applyListUpdate(updateAt(policy.ListChanges, 11, []policy.Entry{incarnationOf(policy.StateInService, startedAt)}, present))
 			l.now += 2 * time.Minute
 			l.applyListUpdate(updateAt(policy.ListWhole, 10, []policy.Entry{incarnationOf(policy.StateInService, startedAt-time.Hour)}, former))
 		},
-		"another address that lags and answers long after the reload": func(l *loop) {
+		"a lagging discovery at another address answers long after the reload": func(l *loop) {
 			l.applyListUpdate(updateAt(policy.ListChanges, 11, []policy.Entry{incarnationOf(policy.StateInService, startedAt)}, present))
 			l.applyListUpdate(updateAt(policy.ListAddressChanged, 0, nil))
 			l.now += 2 * time.Minute
@@ -90,19 +90,20 @@
 			l := newTestLoop(t)
 			l.advanceNow()
 			l.applyListUpdate(updateAt(policy.ListWhole, 10, []policy.Entry{incarnationOf(policy.StateInService, startedAt-time.Hour)}, former))
-			play(l)
+			deliver(l)
 			if _, listed := l.servers[1]; !listed {
-				t.Fatal("the server has no address, and the module may go on sending to it")
+				t.Fatal("the server has no address, but the module may still send to it")
 			}
 			l.now += 2 * time.Minute // the server is warm
 			if to := firstAttemptAddrs(t, l); !slices.Equal(to, []string{present}) {
-				t.Errorf("requests go to %v, want the address of the life in service, %s", to, present)
+				t.Errorf("requests go to %v, want the address of the incarnation in service, %s", to, present)
 			}
 		})
 	}
 }
 
-// discoveryBefore is a discovery at version 41 with servers s1 and s2 in service, before a loop that nobody runs.
+// clientAtVersion41 returns a discovery client at version 41 with servers s1 and s2 in service, and its loop, which does
+// not run.
 func clientAtVersion41(t *testing.T) (*discoveryClient, *loop) {
 	t.Helper()
 	l := newTestLoop(t)
@@ -114,12 +115,12 @@
 	return client, l
 }
 
-// lineOf is discovery's line of a server.
+// entryText returns discovery's entry of a server.
 func entryText(uid, state string) string {
 	return `{"uid":"` + uid + `","endpoint":"` + uid + `","az":"a","state":"` + state + `"}`
 }
 
-// callOut has a discovery make a call that never ends by itself.
+// addCallInFlight adds a call to a client that never ends by itself.
 func addCallInFlight(client *discoveryClient, id policy.CallID) *listCall {
 	call := &listCall{
 		Call: policy.Call{ID: id}, source: client.source, since: client.version, wantsWhole: !client.hasVersion, epoch: client.epoch, startedAt: time.Now(), cancel: func() {},
@@ -128,7 +129,7 @@
 	return call
 }
 
-// listOf reads a message.
+// parseList returns the list in the text of a message.
 func parseList(t *testing.T, text string) serverList {
 	t.Helper()
 	list, err := readList(strings.NewReader(text), testZones, newClock())
@@ -138,23 +139,23 @@
 	return list
 }
 
-// Guards rule 3: what an answer takes out of service counts, whatever has become of its call meanwhile. What a whole
-// list does not name is gone.
+// Guards against requests to a server after its drain notice: what an answer takes out of service counts, whatever has
+// become of its call in the meantime. A server that a whole list does not name is gone.
 func TestOutOfServiceEntriesCountWhateverBecameOfTheirCall(t *testing.T) {
-	const leftOut = `{"rev":42,"all":true,"targets":[{"uid":"s2","endpoint":"s2","az":"a","state":"in_service"}]}`
+	const omits = `{"rev":42,"all":true,"targets":[{"uid":"s2","endpoint":"s2","az":"a","state":"in_service"}]}`
 	drains := `{"rev":42,"all":false,"targets":[` + entryText("s1", "terminating") + `]}`
 	restarted := `{"rev":3,"all":true,"targets":[` + entryText("s1", "terminating") + "," + entryText("s2", "in_service") + `]}`
 	unchanged := serverList{version: 41}
-	for _, text := range []string{drains, leftOut} {
+	for _, text := range []string{drains, omits} {
 		for name, before := range map[string]func(client *discoveryClient){
-			"it is out":                func(*discoveryClient) {},
-			"it was given up":          func(client *discoveryClient) { client.abandon(1) },
-			"another address is named": func(client *discoveryClient) { client.changeAddr("127.0.0.1:2") },
-			"another one was answered": func(client *discoveryClient) {
+			"in flight":               func(*discoveryClient) {},
+			"abandoned":               func(client *discoveryClient) { client.abandon(1) },
+			"the address has changed": func(client *discoveryClient) { client.changeAddr("127.0.0.1:2") },
+			"another call was answered": func(client *discoveryClient) {
 				client.applyReply(callReply{call: addCallInFlight(client, 2), list: unchanged})
 			},
-			"the version was lost in between":  func(client *discoveryClient) { client.discardVersion() },
-			"and another call asks anew since": func(client *discoveryClient) { client.discardVersion(); addCallInFlight(client, 2) },
+			"the version was discarded":                            func(client *discoveryClient) { client.discardVersion() },
+			"the version was discarded, another call is in flight": func(client *discoveryClient) { client.discardVersion(); addCallInFlight(client, 2) },
 		} {
 			t.Run(name+" "+text[:30], func(t *testing.T) {
 				client, l := clientAtVersion41(t)
@@ -162,24 +163,24 @@
 				before(client)
 				client.applyReply(callReply{call: call, list: parseList(t, text)})
 				if to := firstAttemptAddrs(t, l); slices.Contains(to, "s1") {
-					t.Errorf("requests go to %v", to)
+					t.Errorf("requests go to %v, want none to s1", to)
 				}
 			})
 		}
 	}
-	t.Run("versions that begin anew, on the call that is out beside an answered one", func(t *testing.T) {
+	t.Run("versions restart, on a call that overlaps an answered one", func(t *testing.T) {
 		client, l := clientAtVersion41(t)
 		first, second := addCallInFlight(client, 1), addCallInFlight(client, 2)
 		client.applyReply(callReply{call: first, list: unchanged})
 		client.applyReply(callReply{call: second, list: parseList(t, restarted)})
 		if to := firstAttemptAddrs(t, l); slices.Contains(to, "s1") {
-			t.Errorf("requests go to %v", to)
+			t.Errorf("requests go to %v, want none to s1", to)
 		}
 	})
 }
 
-// Guards rule 3: lines of an answer whose version has not come may be of any later one than was asked for, so that a
-// replica that lags, and is ahead of the version asked for, does not undo them.
+// Guards against requests to a server after its drain notice: entries of an answer whose version has not arrived may be of
+// any version after the one that the call named. A replica that is ahead of that version, but lags, does not undo them.
 func TestEntriesOfAnUnknownVersionAreNotUndoneByALaggingReplica(t *testing.T) {
 	for name, next := range map[string]string{
 		"changes": `{"rev":43,"all":false,"targets":[]}`,
@@ -187,20 +188,20 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			client, l := clientAtVersion41(t)
-			found := parseList(t, `{"all":false,"targets":[`+entryText("s1", "terminating")+`]}`) // of version 45, cut off ahead of it
+			found := parseList(t, `{"all":false,"targets":[`+entryText("s1", "terminating")+`]}`) // of version 45, which was cut off
 			client.applyReply(callReply{call: addCallInFlight(client, 1), list: found, isPartial: true, versionUnknown: true})
 			if to := firstAttemptAddrs(t, l); slices.Contains(to, "s1") {
-				t.Fatalf("requests go to %v", to)
+				t.Fatalf("requests go to %v, want none to s1", to)
 			}
 			client.applyReply(callReply{call: addCallInFlight(client, 2), list: parseList(t, next)})
 			if to := firstAttemptAddrs(t, l); slices.Contains(to, "s1") {
-				t.Errorf("after an answer of version 43 requests go to %v", to)
+				t.Errorf("after an answer of version 43 requests go to %v, want none to s1", to)
 			}
 		})
 	}
 }
 
-// The gate stays shut until attempts that wait for a connection are withdrawn.
+// Guards against a gate that opens too early: it stays closed until attempts that wait for a connection are cancelled.
 func TestGateOpensAfterUnsentAttemptsAreCancelled(t *testing.T) {
 	l := newTestLoop(t)
 	ctx, stop := context.WithCancel(t.Context())
@@ -209,31 +210,31 @@
 	go func() {
 		l.postAndWait(func() {
 			l.deferred = append(l.deferred, func() {
-				time.Sleep(50 * time.Millisecond) // a withdrawal that the processor takes its time for
+				time.Sleep(50 * time.Millisecond) // a slow cancellation
 				close(handled)
 			})
 		})
 		select {
 		case <-handled:
 		default:
-			t.Error("the event counts as handled, and the gate opens, ahead of what it has queued")
+			t.Error("the event counts as handled, and the gate opens, before what the event deferred has run")
 		}
 		stop()
 	}()
 	l.run(ctx)
 }
 
-// Guards rule 3: an attempt that waits for its connection is withdrawn when its server has started anew elsewhere: the life
-// that it was meant for is gone.
+// Guards against requests to a former incarnation: an attempt that waits for its connection is cancelled when its server
+// has restarted at another address, because the incarnation that it was meant for is gone.
 func TestLateConnectionToAFormerIncarnationGetsNothing(t *testing.T) {
-	for name, entries := range map[string]struct {
-		line policy.Entry
-		addr string
+	for name, testCase := range map[string]struct {
+		entry policy.Entry
+		addr  string
 	}{
-		"started anew at another address":   {incarnationOf(policy.StateInService, clockOrigin), "127.0.0.1:2"},
-		"named at another address":          {incarnationOf(policy.StateInService, 0), "127.0.0.1:2"},
-		"drains, for comparison":            {incarnationOf(policy.StateDraining, 0), "127.0.0.1:1"},
-		"started anew at the same address ": {incarnationOf(policy.StateDraining, clockOrigin), "127.0.0.1:1"},
+		"restarted at another address":  {incarnationOf(policy.StateInService, clockOrigin), "127.0.0.1:2"},
+		"listed at another address":     {incarnationOf(policy.StateInService, 0), "127.0.0.1:2"},
+		"draining, for comparison":      {incarnationOf(policy.StateDraining, 0), "127.0.0.1:1"},
+		"restarted at the same address": {incarnationOf(policy.StateDraining, clockOrigin), "127.0.0.1:1"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := newTestLoop(t)
@@ -244,19 +245,19 @@
 			l.upstream.dialer = func(context.Context, string) (net.Conn, error) { <-wait; return nil, errors.New("late") }
 			r := submitRead(l)
 			if len(r.attempts) != 1 {
-				t.Fatalf("%d attempts", len(r.attempts))
+				t.Fatalf("%d attempts, want 1", len(r.attempts))
 			}
 			l.runEvent(func() {
-				l.applyListUpdate(updateAt(policy.ListChanges, 11, []policy.Entry{entries.line}, entries.addr))
+				l.applyListUpdate(updateAt(policy.ListChanges, 11, []policy.Entry{testCase.entry}, testCase.addr))
 			})
 			if r.attempts[0].beginWrite() {
-				t.Error("the attempt begins at the server that it was meant for")
+				t.Error("the attempt begins although its server is out of service or replaced")
 			}
 		})
 	}
 }
 
-// Guards rule 3: an answer that has been read counts, however long the node takes to come to it.
+// Guards against the loss of an answer that has been read while the node is busy.
 func TestAnswerThatWasReadIsNotLostWhileTheNodeIsBusy(t *testing.T) {
 	for name, write := range map[string]func(w http.ResponseWriter, text string){
 		"with a length": func(w http.ResponseWriter, text string) {
@@ -267,7 +268,7 @@
 			io.WriteString(w, text)
 			http.NewResponseController(w).Flush()
 		},
-		"chunked, and its end comes a moment later": func(w http.ResponseWriter, text string) {
+		"chunked, with a late end": func(w http.ResponseWriter, text string) {
 			io.WriteString(w, text)
 			http.NewResponseController(w).Flush()
 			time.Sleep(20 * time.Millisecond)
@@ -280,20 +281,20 @@
 			defer service.Close()
 			client := newDiscoveryClient(service.Listener.Addr().String(), parseTestSite(t, testSettings), newClock(), slog.New(slog.DiscardHandler))
 			client.execute(t.Context(), callCommand{call: policy.Call{ID: 1}})
-			time.Sleep(2 * bodyEndTimeout) // run hands on another list
+			time.Sleep(2 * bodyEndTimeout) // run is busy with another list
 			select {
 			case reply := <-client.replies:
 				if reply.err != nil || len(reply.list.entries) != 1 {
-					t.Errorf("the call ends with %d lines, error %v", len(reply.list.entries), reply.err)
+					t.Errorf("the call ends with %d entries, error %v; want 1 entry", len(reply.list.entries), reply.err)
 				}
 			case <-time.After(time.Second):
-				t.Error("no reply: the answer is lost, and the call never ends")
+				t.Error("no reply: the answer is lost and the call never ends")
 			}
 		})
 	}
 }
 
-// The same of the lines of a call that is given up: they were written before.
+// Guards against the loss of entries of a call that was abandoned while the node is busy: discovery wrote them before.
 func TestEntriesThatWereReadAreNotLostWhileTheNodeIsBusy(t *testing.T) {
 	began := make(chan struct{})
 	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -307,13 +308,13 @@
 	client.execute(t.Context(), callCommand{call: policy.Call{ID: 1}})
 	<-began
 	client.abandon(1)
-	time.Sleep(4 * abandonedReadTimeout) // run hands on another list
+	time.Sleep(4 * abandonedReadTimeout) // run is busy with another list
 	select {
 	case reply := <-client.replies:
 		if len(reply.list.entries) != 1 {
-			t.Errorf("%d lines, error %v", len(reply.list.entries), reply.err)
+			t.Errorf("%d entries, error %v; want 1 entry", len(reply.list.entries), reply.err)
 		}
 	case <-time.After(time.Second):
-		t.Error("the line that was read is lost")
+		t.Error("the entry that was read is lost")
 	}
 }
--- a/internal/node/outdated_answer_test.go
+++ b/internal/node/outdated_answer_test.go
@@ -9,14 +9,15 @@
 	"otterstep/policy"
 )
 
-// A discovery that counts anew answers a call with a whole list of a lower version than the call asked from.
-// It has told by it which servers are out, also where another answer was taken while that call was out.
+// Guards against requests to a server after its drain notice: a discovery that restarts its count of versions answers
+// with a whole list of a lower version than the one that the call named. The servers that the list takes out of service
+// are out, even if another answer was accepted while the call was in flight.
 func TestAnswerOlderThanItsCallTakesServersOut(t *testing.T) {
 	const sinceVersion, currentVersion, restartedVersion = 956, 957, 226
 	now := time.Now()
 	for name, startedAt := range map[string]time.Time{
-		"called behind the latest answer": now.Add(time.Second),
-		"called before the latest answer": now.Add(-time.Second),
+		"call after the latest answer":  now.Add(time.Second),
+		"call before the latest answer": now.Add(-time.Second),
 	} {
 		client := newDiscoveryClient("127.0.0.1:1", parseTestSite(t, testSettings), newClock(), slog.New(slog.DiscardHandler))
 		var outOfService []policy.Entry
@@ -34,7 +35,7 @@
 		list.add(listEntry{UID: "s1", Endpoint: "127.0.0.1:2", State: "terminating"}, nil, client.clock)
 		client.applyReply(callReply{call: call, list: list})
 		if len(outOfService) != 1 || outOfService[0].State != policy.StateDraining {
-			t.Errorf("%s: told of %v, want one server that drains", name, outOfService)
+			t.Errorf("%s: %v are taken out of service, want one draining server", name, outOfService)
 		}
 	}
 }
