--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -80,7 +80,7 @@
 
 	source     policy.SourceID // discovery service that counts the versions
 	version    int64
-	hasVersion bool      // version comes from the present source
+	hasVersion bool      // whether version comes from the present source
 	epoch      int       // count of discarded versions; answers to calls of an earlier epoch are rejected
 	acceptedAt time.Time // time at which version was accepted
 }
@@ -125,7 +125,7 @@
 	return r.err == nil && r.list.isWhole && (!r.isPartial || r.allEntriesRead)
 }
 
-// newDiscoveryClient returns a client of the discovery service at an address. It does nothing until run is called.
+// newDiscoveryClient returns a client of the discovery service at an address. It makes no call until run is called.
 func newDiscoveryClient(addr string, settings wire.NodeSettings, c clock, log *slog.Logger) *discoveryClient {
 	return &discoveryClient{
 		addr: addr, source: sourceID(addr), gate: newSendGate(), zones: settings.ZoneNames, clock: c, responseTimeout: callResponseTimeout, callLog: &callLog{logger: log, partialListLines: new(atomic.Int64)},
--- a/internal/node/faults_test.go
+++ b/internal/node/faults_test.go
@@ -118,7 +118,7 @@
 
 // Guards breakers against errors of the node's own machine: they say nothing about a server, but consecutive ones opened
 // the breakers of all servers.
-func TestFailuresOfThisMachineAreNotTheServers(t *testing.T) {
+func TestLocalErrorsDoNotCountAgainstServers(t *testing.T) {
 	for _, c := range []struct {
 		errno    syscall.Errno
 		failures int64
--- a/internal/node/fleet_scale_test.go
+++ b/internal/node/fleet_scale_test.go
@@ -15,7 +15,7 @@
 	"otterstep/policy"
 )
 
-// This file has tests of how changes reach a fleet of headless nodes in one process that call a stand-in for discovery.
+// This file tests how changes reach a fleet of headless nodes in one process that call a stand-in for discovery.
 // The tests assert outcomes, counts and ratios. The benchmarks print the figures for docs/CAPACITY.md.
 
 // These constants are the operators' target: the size of the fleet and the load that it must serve.
@@ -100,7 +100,7 @@
 }
 
 // Guards against changes that get larger with the number of nodes, or that do not reach every node.
-func TestScaleChangeReachesEveryNodeAtTheSamePrice(t *testing.T) {
+func TestScaleChangeReachesEveryNodeAtTheSameCost(t *testing.T) {
 	const few, many, changes = 25, 150, 9
 	small, large := runSteadyChanges(t, few, changes), runSteadyChanges(t, many, changes)
 	if large > 1.25*small {
--- a/internal/node/gate_test.go
+++ b/internal/node/gate_test.go
@@ -93,7 +93,7 @@
 }
 
 // The metrics include drain violations. If a class of requests has the path of the metrics, requests go to the class.
-func TestMetricsTellOfViolations(t *testing.T) {
+func TestMetricsIncludeDrainViolations(t *testing.T) {
 	l := newTestLoop(t)
 	l.metrics.drainViolations.Add(3)
 	scrape := func(classes ...string) string {
--- a/internal/node/incarnations_test.go
+++ b/internal/node/incarnations_test.go
@@ -120,7 +120,7 @@
 	return `{"uid":"` + uid + `","endpoint":"` + uid + `","az":"a","state":"` + state + `"}`
 }
 
-// addCallInFlight adds a call to a client that never ends by itself.
+// addCallInFlight adds a call to a client. The call never ends by itself.
 func addCallInFlight(client *discoveryClient, id policy.CallID) *listCall {
 	call := &listCall{
 		Call: policy.Call{ID: id}, source: client.source, since: client.version, wantsWhole: !client.hasVersion, epoch: client.epoch, startedAt: time.Now(), cancel: func() {},
--- a/internal/node/list.go
+++ b/internal/node/list.go
@@ -67,8 +67,7 @@
 // has written its entry, whatever becomes of the rest of the message.
 type listCallbacks struct {
 	// onOutOfService receives further entries that take servers out of service, including those of a message
-	// that proves to be broken. versionRead reports
-	// whether the version has been read.
+	// that proves to be broken. versionRead reports whether the version has been read.
 	onOutOfService func(found serverList, versionRead bool)
 	// onAllEntries receives, once, a whole list of which all entries and the version have been read, but not the
 	// closing brace. A server that it does not name is gone.
--- a/internal/node/list_scale_test.go
+++ b/internal/node/list_scale_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// This file has the cost of whole lists and of changes of one entry at a node, from discovery's text through the loop
-// to the policy. The test asserts a ratio. The benchmarks print the figures for docs/CAPACITY.md.
+// This file measures what whole lists and changes of one entry cost a node, from discovery's text through the loop to
+// the policy. The test asserts a ratio. The benchmarks print the figures for docs/CAPACITY.md.
 
 // scaleListSizes are numbers of servers, up to the operators' target.
 var scaleListSizes = []int{200, 1000, 5000, 20_000, targetServers}
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -13,7 +13,7 @@
 type metrics struct {
 	drainViolations  atomic.Int64 // attempts that began after the drain grace of a server out of service
 	partialListLines atomic.Int64 // entries that took effect although their answer was not accepted as a whole
-	listsOverdue     atomic.Int64 // times that discovery brought no news for longer than the rules allow
+	listsOverdue     atomic.Int64 // times that discovery did not answer for longer than the rules allow
 	serversHeld      atomic.Int64 // times that a server was held out of service because the source that listed it may lag
 }
 
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -124,7 +124,7 @@
 
 // Guards against a node that stays at a former address of discovery: the file may be missing or incomplete when the
 // signal arrives, and no other signal follows. The failure is logged once for each signal.
-func TestReloadReadsAFileThatIsNotWholeYetAgain(t *testing.T) {
+func TestReloadRetriesAnIncompleteFile(t *testing.T) {
 	for name, damage := range map[string]func(path string) error{
 		"missing":      os.Remove,
 		"empty":        func(path string) error { return os.Truncate(path, 0) },
