--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -63,8 +63,8 @@
 const maxPipelinedBytes = 4 << 10
 
 func newClientConns(descriptors int) *clientConns {
-	spare := descriptors / 8
-	return &clientConns{maxConns: descriptors - spare, headroom: spare, log: slog.New(slog.DiscardHandler), conns: map[*clientConn]struct{}{}}
+	headroom := descriptors / 8
+	return &clientConns{maxConns: descriptors - headroom, headroom: headroom, log: slog.New(slog.DiscardHandler), conns: map[*clientConn]struct{}{}}
 }
 
 // clientListener accepts clients.
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -464,7 +464,7 @@
 // and before any of it is read.
 func TestLargeBodiesShareAByteBudget(t *testing.T) {
 	f := newFront(&loop{clock: newClock()}, wire.NodeSettings{ClassNames: []string{"book"}}, newClientConns(8), 10<<10, func() bool { return true })
-	f.site.Policy.Classes = parseTestSite(t, testSettings).Policy.Classes[2:]
+	f.settings.Policy.Classes = parseTestSite(t, testSettings).Policy.Classes[2:]
 	ask := func() (code int, read int64) {
 		body := &countingReader{}
 		r := newClientRequest(t, "api", "book", "2.5")
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -15,28 +15,30 @@
 	"otterstep/policy"
 )
 
-// front is the client side: it turns requests into events of the loop and the
+// front is the HTTP handler for clients. It turns their requests into events of the loop, and the
 // loop's answers into responses.
 type front struct {
 	loop        *loop
-	site        wire.NodeSettings
+	settings    wire.NodeSettings
 	clients     *clientConns
 	isReady     func() bool
 	classIndex  map[string]int
 	tenantIndex map[string]int
-	draining    atomic.Bool // answers close their connections
-	bodyBudget  byteBudget  // memory of clients' larger bodies
+	draining    atomic.Bool // The node drains, so that each answer closes its connection.
+	bodyBudget  byteBudget  // The memory for request bodies of more than smallBodyBytes.
 }
 
-// A small body fits into what a connection takes anyway.
+// smallBodyBytes is the size up to which a body is not counted in the budget, because it fits into
+// the memory that each connection takes anyway.
 const smallBodyBytes = 4 << 10
 
-// budget bounds a sum of bytes.
+// byteBudget bounds a sum of bytes. It is safe for concurrent use.
 type byteBudget struct {
 	limit int64
 	used  atomic.Int64
 }
 
+// reserve takes n bytes from the budget. It returns false, and takes nothing, if there are not so many.
 func (b *byteBudget) reserve(n int64) bool {
 	if b.used.Add(n) > b.limit {
 		b.used.Add(-n)
@@ -45,23 +47,24 @@
 	return true
 }
 
+// release gives n bytes back to the budget.
 func (b *byteBudget) release(n int64) { b.used.Add(-n) }
 
-func newFront(l *loop, site wire.NodeSettings, clients *clientConns, bodyBudgetBytes int64, isReady func() bool) *front {
+func newFront(l *loop, settings wire.NodeSettings, clients *clientConns, bodyBudgetBytes int64, isReady func() bool) *front {
 	f := &front{
-		loop: l, site: site, clients: clients, isReady: isReady, bodyBudget: byteBudget{limit: bodyBudgetBytes},
+		loop: l, settings: settings, clients: clients, isReady: isReady, bodyBudget: byteBudget{limit: bodyBudgetBytes},
 		classIndex: map[string]int{}, tenantIndex: map[string]int{},
 	}
-	for i, name := range site.ClassNames {
+	for i, name := range settings.ClassNames {
 		f.classIndex[name] = i
 	}
-	for i, name := range site.TenantNames {
+	for i, name := range settings.TenantNames {
 		f.tenantIndex[name] = i
 	}
 	return f
 }
 
-// clientError is what is wrong with a request, in words for its sender.
+// clientError is an error in a client's request. The node answers with its status code and text.
 type clientError struct {
 	statusCode int
 	text       string
@@ -69,10 +72,13 @@
 
 func (e *clientError) Error() string { return e.text }
 
+// badRequest returns a clientError with the status 400.
 func badRequest(format string, args ...any) error {
 	return &clientError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
+// ServeHTTP implements http.Handler. It answers health checks and requests for metrics itself, and
+// has the loop answer all others.
 func (f *front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	receivedAt := f.loop.clock.now()
 	overLimit := f.clients.isFull()
@@ -96,9 +102,9 @@
 			defer f.bodyBudget.release(r.ContentLength)
 		}
 	}
-	if err == nil && overLimit { // nothing was sent for it, so that the promise of a refusal holds
+	if err == nil && overLimit { // No attempt has been made, so a refusal may promise that a retry does no harm.
 		w.Header().Set("Connection", "close")
-		writeAnswer(w, finalAnswer{kind: answerRefused, retryAfter: f.site.Policy.Limits.MaxRetryAfter})
+		writeAnswer(w, finalAnswer{kind: answerRefused, retryAfter: f.settings.Policy.Limits.MaxRetryAfter})
 		return
 	}
 	if err == nil {
@@ -108,8 +114,8 @@
 		f.writeClientError(w, err)
 		return
 	}
-	// The request is whole; the time limit on reading it must not end the wait.
-	// A connection that can't take this back is broken and shows as such.
+	// The request has been read, and the read deadline must not end the wait for its answer. If the
+	// deadline can't be cleared, the connection is broken, which shows in the wait.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 
 	answers := make(chan finalAnswer, 1)
@@ -126,48 +132,48 @@
 		}
 		f.close(w, r)
 		writeAnswer(w, answer)
-	case <-r.Context().Done(): // the client went away
+	case <-r.Context().Done(): // The client has disconnected.
 		f.loop.post(func() { f.loop.clientDisconnected(submitted) })
-		panic(http.ErrAbortHandler) // else net/http words an answer: 200 with no body
+		panic(http.ErrAbortHandler) // Without it, net/http would answer 200 with an empty body.
 	case <-f.loop.stopped:
 		http.Error(w, "shutting down", http.StatusBadGateway)
 	}
 }
 
-// close ends the connection behind the answer while the node drains or few
-// descriptors are left: nothing can cross such a close. So does it where the client sent
-// more than is kept behind its request. It is asked when the answer is there, as much may
-// have changed since the request came.
+// close has the connection close after the answer if the node drains, if few file descriptors are
+// left or if the client has sent more pipelined data than the node keeps. No request can be in transit
+// at such a close, because the client is told of it in the answer. The caller calls it right before it
+// writes the answer, because the state may have changed since the request arrived.
 func (f *front) close(w http.ResponseWriter, r *http.Request) {
 	var reason string
 	switch {
 	case f.draining.Load():
-		reason = "the node drains"
+		reason = "the node is draining"
 	case f.clients.isNearLimit():
-		reason = "descriptors are short"
+		reason = "few file descriptors are left"
 	case pipelinedTooMuch(r):
-		reason = "the client sent too much ahead"
+		reason = "the client sent too much pipelined data"
 	default:
 		return
 	}
 	w.Header().Set("Connection", "close")
-	f.clients.log.Debug("client connection closed behind its answer", "client", r.RemoteAddr, "reason", reason)
+	f.clients.log.Debug("client connection closes after its answer", "client", r.RemoteAddr, "reason", reason)
 }
 
-// turnDown answers what can't be used, and ends the connection: what follows on it
-// can't be trusted. While descriptors are few it does so at once, where net/http
-// would linger for half a second so that a client still sending sees the answer.
+// writeClientError answers an invalid request and closes the connection, because what follows on it
+// can't be trusted. If few file descriptors are left it closes at once: net/http would keep the
+// connection for another half second, so that a client that is still sending sees the answer.
 func (f *front) writeClientError(w http.ResponseWriter, err error) {
 	code := http.StatusBadRequest
 	if invalid := (*clientError)(nil); errors.As(err, &invalid) {
 		code = invalid.statusCode
 	}
-	f.clients.log.Debug("request turned down", "code", code, "reason", err)
+	f.clients.log.Debug("invalid request", "code", code, "reason", err)
 	text := err.Error() + "\n"
 	header := w.Header()
 	header.Set("Connection", "close")
 	header.Set("Content-Type", "text/plain; charset=utf-8")
-	header.Set("Content-Length", strconv.Itoa(len(text))) // else the flush cuts off a last chunk
+	header.Set("Content-Length", strconv.Itoa(len(text))) // Without a length, the answer would be chunked, and its last chunk would be lost.
 	w.WriteHeader(code)
 	_, _ = io.WriteString(w, text)
 	if f.clients.isNearLimit() {
@@ -176,12 +182,13 @@
 	}
 }
 
-// parse looks at all but the body. What it can't make sense of is an error at once.
+// parseRequest checks and converts all of a client's request but its body. It returns a clientError
+// for an invalid request.
 func (f *front) parseRequest(r *http.Request, receivedAt time.Duration) (policyRequest policy.Request, outgoing *upstreamRequest, err error) {
 	if len(r.TransferEncoding) > 0 {
-		// net/http has dropped a Content-Length beside it by now. Two lengths may
-		// hide a second request in the first one's body, so none of these passes;
-		// clients send a length.
+		// A request with both lengths may hide a second request in its body (request smuggling).
+		// net/http has already dropped a Content-Length beside the Transfer-Encoding, so all
+		// requests with a Transfer-Encoding are invalid; clients send a length.
 		return policyRequest, nil, &clientError{http.StatusLengthRequired, "Transfer-Encoding is not taken, send a Content-Length"}
 	}
 	singleHeader := func(name string) string {
@@ -219,7 +226,7 @@
 			return policyRequest, nil, err
 		}
 	}
-	classSettings := f.site.Policy.Classes[policyRequest.Class]
+	classSettings := f.settings.Policy.Classes[policyRequest.Class]
 	switch method := r.Method; {
 	case classSettings.Idempotency == policy.Idempotent && method != http.MethodGet,
 		classSettings.Idempotency != policy.Idempotent && method != http.MethodPost:
@@ -244,7 +251,7 @@
 	return policyRequest, outgoing, nil
 }
 
-// readRequestBody reads a body of a length that was found fit.
+// readRequestBody reads a body whose declared length has been checked.
 func readRequestBody(r *http.Request) ([]byte, error) {
 	body := make([]byte, r.ContentLength)
 	if _, err := io.ReadFull(r.Body, body); err != nil {
@@ -253,8 +260,8 @@
 	return body, nil
 }
 
-// number reads a time given as a decimal number of units; one of over an hour is
-// no time that a client waits.
+// parseDuration parses the value of a header that is a decimal number of units. It returns a
+// clientError for more than one hour, because no client waits that long.
 func parseDuration(name, text string, unit time.Duration) (time.Duration, error) {
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(value >= 0 && value <= float64(time.Hour/unit)) {
@@ -263,7 +270,8 @@
 	return time.Duration(value * float64(unit)), nil
 }
 
-// key hashes the last part of a path behind its class; 0 where there is none.
+// pathKey returns the hash of the last segment of a path without its class, or 0 if that is empty. A
+// hash is never 0.
 func pathKey(path string) uint64 {
 	lastSegment := path[strings.LastIndexByte(path, '/')+1:]
 	if lastSegment == "" {
@@ -274,15 +282,15 @@
 	return max(hash.Sum64(), 1)
 }
 
-// write passes an answer on. An error of the connection is the client's leaving:
-// the answer was given.
+// writeAnswer writes a final answer as an HTTP response. It ignores write errors: they mean that the
+// client has disconnected, and the request counts as answered.
 func writeAnswer(w http.ResponseWriter, answer finalAnswer) {
 	switch answer.kind {
 	case answerServed:
 		if answer.result.contentType != "" {
 			w.Header().Set("Content-Type", answer.result.contentType)
 		} else {
-			w.Header()["Content-Type"] = nil // don't guess it from the body
+			w.Header()["Content-Type"] = nil // keeps net/http from guessing it from the body
 		}
 		w.Header().Set("Content-Length", strconv.Itoa(len(answer.result.body)))
 		_, _ = w.Write(answer.result.body)
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -11,23 +11,24 @@
 	"otterstep/policy"
 )
 
-// clockOrigin is what the module's clock shows when the process starts. The
-// module takes a start time of 0 or less as "long ago", so servers that came up
-// shortly before this process did must still get a positive one, or a cold
-// server would pass for a warm one.
+// clockOrigin is the reading of the node's clock when the process starts. The Balancer takes a
+// server's start time of 0 or less as long past, so a server that started shortly before this
+// process must still get a positive start time; otherwise a cold server would pass for a warm one.
 //
-// It is long enough for a start of lately to be told from one of long ago, and from another such
-// start, also where a wall clock was stepped by an hour.
+// It is long enough that a recent start stays distinct from a start long ago, and from another
+// recent start, even if a wall clock was stepped by an hour.
 const clockOrigin = 30 * 24 * time.Hour
 
-// clock is the module's clock: monotonic, from the start of the process.
+// clock is the monotonic clock whose readings the Balancer gets. It shows clockOrigin at the start
+// of the process.
 type clock struct{ start time.Time }
 
 func newClock() clock { return clock{time.Now()} }
 
 func (c clock) now() time.Duration { return time.Since(c.start) + clockOrigin }
 
-// fromUnixMs maps a wall-clock time; 0, and what is older than the clock, is 0.
+// fromUnixMs converts a wall-clock time in Unix milliseconds to a reading of the clock. It returns 0
+// for a time of 0 or less, and for one before the clock's zero.
 func (c clock) fromUnixMs(ms int64) time.Duration {
 	if ms <= 0 {
 		return 0
@@ -35,55 +36,58 @@
 	return max(0, time.UnixMilli(ms).Sub(c.start.Round(0))+clockOrigin)
 }
 
-// Deadlines. A client counts its time from when it sent, so the module is told
-// somewhat less; the backstop stands between the module's end and the client's.
+// A client's time starts when it sends its request, before the node receives it. The Balancer's
+// deadline of a request is therefore earlier than the client's, and between the two the loop answers
+// each request that has no answer yet.
 const (
+	// policyDeadlineMargin is the longest time between the Balancer's deadline and the client's.
 	policyDeadlineMargin = 12 * time.Millisecond
+	// answerDeadlineMargin is the longest time between the loop's own answer and the client's deadline.
 	answerDeadlineMargin = 4 * time.Millisecond
 )
 
-// answerKind tells how a request ended for its client.
+// answerKind is how a request ended for its client.
 type answerKind uint8
 
 const (
 	answerServed answerKind = iota
 	answerRefused
 	answerFailed
-	answerTimedOut    // failed because the time was up
-	answerDuplicateID // its id is that of another request
+	answerTimedOut    // The request failed because its time was up.
+	answerDuplicateID // Another request has the same id.
 )
 
 var answerKindNames = [...]string{
 	answerServed: "served", answerRefused: "refused", answerFailed: "failed", answerTimedOut: "overdue", answerDuplicateID: "duplicate id",
 }
 
-// String names a kind, for logs.
+// String returns the name of a kind for logs.
 func (k answerKind) String() string { return answerKindNames[k] }
 
-// answer is the one final answer of a request.
+// finalAnswer is the answer to a client's request; each request gets exactly one.
 type finalAnswer struct {
 	kind       answerKind
-	retryAfter time.Duration // refused
-	reason     string        // refused or failed, for the log
-	result     attemptResult // served
+	retryAfter time.Duration // The wait for clients of a refused request. 0 means that none is stated.
+	reason     string        // The reason of a refusal or failure, for the log.
+	result     attemptResult // The server's response if the request was served.
 }
 
-// request is a client's request while the node owes something for it or an
-// attempt of it is out. Only the loop touches it.
+// request is a client's request that has no final answer yet or has an attempt in flight. Only the
+// loop's goroutine uses it, except for writeDeadline, which the goroutines of attempts read too.
 type request struct {
 	id            policy.RequestID
 	outgoing      *upstreamRequest
-	answers       chan<- finalAnswer // room for the one answer
-	deadline      time.Duration      // attempts are given up
+	answers       chan<- finalAnswer // A channel with buffer space for the one answer.
+	deadline      time.Duration      // The Balancer's deadline: the time at which attempts time out.
 	answered      bool
 	attempts      []*attempt
 	inFlight      int
-	writeDeadline atomic.Int64 // no byte of an attempt goes out from then on; 0: no limit
+	writeDeadline atomic.Int64 // The time in nanoseconds from which no attempt may be written. 0 means no limit.
 }
 
-// The phases of an attempt's write. They are shared with its goroutine, so that
-// nothing goes out after the loop has given the attempt up, and the loop knows
-// whether anything may have.
+// The phases of an attempt's write. The loop and the attempt's goroutine share the phase: no write
+// begins once the loop has abandoned an attempt, and the loop knows whether anything may have been
+// written.
 const (
 	phaseUnsent int32 = iota
 	phaseWriting
@@ -91,6 +95,7 @@
 	phaseAbandoned
 )
 
+// attempt is one attempt of a request at one server. It implements writePermit.
 type attempt struct {
 	clock           clock
 	gate            *sendGate
@@ -100,13 +105,14 @@
 	incarnation     serverIncarnation
 	sentAt          time.Duration
 	phase           atomic.Int32
-	beganAt         atomic.Int64 // when its first byte was about to go out, on the module's clock; 0: not yet
+	beganAt         atomic.Int64 // The clock time in nanoseconds of the permission to write the first byte. 0 means not yet.
 	cancel          context.CancelFunc
-	outcomeReported bool // its outcome was told; what still comes is dropped
+	outcomeReported bool // The Balancer has the outcome; any later result is ignored.
 }
 
-// begin claims the right to write the request; false once the loop gave it up, the time for it is over
-// or its server is being taken out of service. Every first byte passes here. It implements permit.
+// beginWrite claims the right to write the request. It returns false if the loop has abandoned the
+// attempt, the write deadline has passed or the attempt's server is being taken out of service. Every
+// attempt calls it right before the first byte of its request.
 func (a *attempt) beginWrite() bool {
 	now := a.clock.now()
 	deadline := time.Duration(a.request.writeDeadline.Load())
@@ -117,15 +123,16 @@
 	return true
 }
 
-// wrote notes that the last byte is out.
+// finishWrite records that the last byte of the request has been written.
 func (a *attempt) finishWrite() { a.phase.CompareAndSwap(phaseWriting, phaseWritten) }
 
-// timer is an entry of the one heap of timers.
+// timer is a callback that the loop runs at a time.
 type timer struct {
-	at   time.Duration
-	fire func()
+	at       time.Duration
+	callback func()
 }
 
+// timerHeap is a heap of timers, the earliest first. It implements heap.Interface.
 type timerHeap []timer
 
 func (h timerHeap) Len() int           { return len(h) }
@@ -135,22 +142,22 @@
 func (h *timerHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
-	old[len(old)-1] = timer{} // let go of what it holds
+	old[len(old)-1] = timer{} // releases what the callback refers to
 	*h = old[:len(old)-1]
 	return last
 }
 
-// loop owns the Balancer, the requests and the clock: one goroutine runs it,
-// everything else posts events. It implements policy.Host; actions only start
-// goroutines, answer waiting handlers or queue what must reach the module after
-// the present event, since the module must not be called from within itself.
+// loop is the event loop of a node. It owns the Balancer, the requests and the timers: one goroutine
+// runs it, and all others post events to it. It implements policy.Host. A Host must not call back
+// into the Balancer, so an action only starts a goroutine, answers a waiting handler, or defers what
+// the Balancer has to be told until the current event is done.
 type loop struct {
 	clock      clock
 	upstream   *upstream
 	gate       *sendGate
-	drainGrace time.Duration // for which a server that was told to drain may be sent to
+	drainGrace time.Duration // The time for which a draining server may still get attempts.
 	requestLog *requestLog
-	onReady    func() // told once: requests are served from now on
+	onReady    func() // A callback for the moment from which the node serves requests; it is called once.
 	callQueue  *callQueue
 	events     chan func()
 	stopped    chan struct{}
@@ -161,11 +168,11 @@
 	servers          map[policy.ServerID]serverIncarnation
 	lastRequestID    policy.RequestID
 	recentIDs        recentIDs
-	shutdownDeadline time.Duration // the node ends: answers are due by then; 0: not so far
+	shutdownDeadline time.Duration // The time by which all requests are answered as the node shuts down. 0 means that it does not.
 
 	metrics  metrics
 	timers   timerHeap
-	deferred []func()
+	deferred []func() // Functions that run in this order after the current event.
 }
 
 func newLoop(settings policy.Settings, seed uint64, clock clock, upstream *upstream, callQueue *callQueue) (*loop, error) {
@@ -183,7 +190,7 @@
 	return l, nil
 }
 
-// run handles events until ctx ends. What is out then is given up.
+// run runs events and timers until ctx ends. It then cancels all attempts.
 func (l *loop) run(ctx context.Context) {
 	defer close(l.stopped)
 	wake := time.NewTimer(0)
@@ -202,7 +209,7 @@
 		case <-wake.C:
 		}
 		for len(l.timers) > 0 && l.timers[0].at <= l.advanceNow() {
-			l.runEvent(heap.Pop(&l.timers).(timer).fire)
+			l.runEvent(heap.Pop(&l.timers).(timer).callback)
 		}
 		if len(l.timers) > 0 {
 			wake.Reset(l.timers[0].at - l.advanceNow())
@@ -210,13 +217,13 @@
 	}
 }
 
-// tick moves the module's clock on; it never goes back.
+// advanceNow sets now from the clock and returns it. It never sets now back.
 func (l *loop) advanceNow() time.Duration {
 	l.now = max(l.now, l.clock.now())
 	return l.now
 }
 
-// step handles one event and then what the module's actions have queued.
+// runEvent runs one event, and then what the Balancer's actions have deferred.
 func (l *loop) runEvent(event func()) {
 	l.advanceNow()
 	event()
@@ -228,7 +235,7 @@
 	l.deferred = nil
 }
 
-// post hands an event to the loop; false once it has stopped.
+// post queues an event for the loop. It returns false if the loop has stopped.
 func (l *loop) post(event func()) bool {
 	select {
 	case l.events <- event:
@@ -238,7 +245,8 @@
 	}
 }
 
-// await hands an event to the loop and waits until it and what it queued was handled, or the loop has stopped.
+// postAndWait queues an event and waits until the loop has run it and all that it deferred, or has
+// stopped.
 func (l *loop) postAndWait(event func()) {
 	handled := make(chan struct{})
 	done := func() { close(handled) }
@@ -250,13 +258,15 @@
 	}
 }
 
-func (l *loop) scheduleAt(at time.Duration, fire func()) {
-	heap.Push(&l.timers, timer{at, fire})
+// scheduleAt sets a timer.
+func (l *loop) scheduleAt(at time.Duration, callback func()) {
+	heap.Push(&l.timers, timer{at, callback})
 }
 
-// ---- events
+// ---- Events
 
-// members takes a list of servers or changes to it.
+// applyListUpdate applies a whole list or changes to it to the addresses of servers, and passes the
+// update on to the Balancer.
 func (l *loop) applyListUpdate(update listUpdate) {
 	switch update.kind {
 	case policy.ListWhole, policy.ListCached:
@@ -267,21 +277,22 @@
 	l.balancer.ListUpdatedFrom(l.now, update.origin, update.kind, update.entries)
 }
 
-// replaceServers takes a whole list.
+// replaceServers replaces the addresses of all servers by those of a whole list. A server whose entry
+// the Balancer does not accept keeps its address.
 func (l *loop) replaceServers(update listUpdate) {
-	old := l.servers
+	previous := l.servers
 	l.servers = make(map[policy.ServerID]serverIncarnation, len(update.entries))
 	accepted := l.balancer.AcceptedEntries(l.now, update.origin, update.entries)
 	for i, entry := range update.entries {
 		if accepted[i] {
 			l.setServer(entry, update.endpoints[i])
-		} else if incarnation, listed := old[entry.Server]; listed && l.servers[entry.Server] == (serverIncarnation{}) {
+		} else if incarnation, listed := previous[entry.Server]; listed && l.servers[entry.Server] == (serverIncarnation{}) {
 			l.servers[entry.Server] = incarnation
 		}
 	}
 	var unlistedAddrs []string
 	var dropped []serverIncarnation
-	for id, incarnation := range old {
+	for id, incarnation := range previous {
 		if l.servers[id] != incarnation {
 			dropped = append(dropped, incarnation)
 		}
@@ -290,14 +301,14 @@
 		}
 	}
 	if len(unlistedAddrs) > 0 {
-		l.requestLog.logger.Info("servers that the whole list does not name", "count", len(unlistedAddrs),
+		l.requestLog.logger.Info("servers not in the whole list", "count", len(unlistedAddrs),
 			"endpoints", unlistedAddrs[:min(len(unlistedAddrs), maxLoggedServers)])
 	}
 	l.dropIncarnations(dropped)
 }
 
-// changeServers takes changes to the list. It looks at no other server: there may be very
-// many, and changes often come one by one.
+// changeServers applies changes to the list. It looks at no unchanged server, because there may be
+// very many, and changes often come one by one.
 func (l *loop) changeServers(update listUpdate) {
 	var dropped []serverIncarnation
 	accepted := l.balancer.AcceptedEntries(l.now, update.origin, update.entries)
@@ -314,6 +325,7 @@
 	l.dropIncarnations(dropped)
 }
 
+// setServer sets or removes the address of one server.
 func (l *loop) setServer(entry policy.Entry, endpoint string) {
 	if entry.State == policy.StateGone {
 		delete(l.servers, entry.Server)
@@ -322,9 +334,9 @@
 	}
 }
 
-// drop closes the connections to servers that are gone, or that are no longer the process or at the address
-// that they were, and takes back the attempts that wait for one; a late word on an old server does not touch
-// a new one at its address.
+// dropIncarnations closes the idle connections to servers that are gone, have restarted or have
+// another address, and cancels the unsent attempts at them. It goes by incarnation, so that a late
+// message about an old server does not affect a new one at the same address.
 func (l *loop) dropIncarnations(incarnations []serverIncarnation) {
 	if len(incarnations) == 0 {
 		return
@@ -343,14 +355,14 @@
 	}
 }
 
-// submit takes a request in. The answer comes on answers, exactly once.
+// submit passes a client's request to the Balancer. It sends exactly one final answer to answers.
 func (l *loop) submit(policyRequest policy.Request, outgoing *upstreamRequest, answers chan<- finalAnswer) *request {
 	if !l.recentIDs.add(l.now, outgoing.header.Get("X-Correlation-Id")) {
 		r := &request{answers: answers}
 		l.answer(r, finalAnswer{kind: answerDuplicateID})
 		return r
 	}
-	for l.lastRequestID++; l.requests[l.lastRequestID] != nil; l.lastRequestID++ { // ids wrap around in the end
+	for l.lastRequestID++; l.requests[l.lastRequestID] != nil; l.lastRequestID++ { // Ids wrap around, so those of open requests are skipped.
 	}
 	if l.shutdownDeadline > 0 {
 		outgoing.clientDeadline = min(outgoing.clientDeadline, l.shutdownDeadline)
@@ -368,8 +380,8 @@
 	return r
 }
 
-// expire gives up what is out at the client's deadline. The module hears of
-// time-outs of a request still open and words the final answer itself.
+// timeOutAttempts ends the attempts of a request at the Balancer's deadline. It reports each as
+// timed out while the request has no answer, so that the Balancer decides on the final answer.
 func (l *loop) timeOutAttempts(r *request) {
 	for _, a := range r.attempts {
 		if !a.outcomeReported && !r.answered {
@@ -378,8 +390,9 @@
 	}
 }
 
-// endAt is told when the node ends: answers are due by then, also those of requests
-// that were taken before and have more time left. A killed node answers nobody.
+// setShutdownDeadline sets the time by which all requests must be answered, including those that
+// were received earlier and have more time left: the node may be killed after it, and a killed node
+// answers nobody.
 func (l *loop) setShutdownDeadline(deadline time.Duration) {
 	l.shutdownDeadline = deadline
 	for _, r := range l.requests {
@@ -389,8 +402,8 @@
 	}
 }
 
-// backstop guards the rule that each request is answered in its client's time,
-// should the module not have done so by now.
+// enforceDeadline answers a request that the Balancer has not answered by now, so that every client
+// gets an answer within its time. The Balancer then treats the client as disconnected.
 func (l *loop) enforceDeadline(r *request) {
 	if !r.answered {
 		l.answer(r, finalAnswer{kind: answerTimedOut})
@@ -399,7 +412,7 @@
 	}
 }
 
-// left is told when the client went away.
+// clientDisconnected ends a request whose client has disconnected. The client gets no answer.
 func (l *loop) clientDisconnected(r *request) {
 	if !r.answered {
 		r.answered = true
@@ -409,7 +422,7 @@
 	}
 }
 
-// finished takes what came of an attempt.
+// roundTripFinished answers the client if the result of an attempt allows it, and reports the outcome.
 func (l *loop) roundTripFinished(a *attempt, result attemptResult, endedAt time.Duration) {
 	if a.outcomeReported {
 		return
@@ -418,16 +431,17 @@
 	case result.status == policy.OK:
 		l.answer(a.request, finalAnswer{kind: answerServed, result: result})
 	case result.invalidRequest:
-		// The request is at fault, and would be at any server: nothing to hold
-		// against this one, and nothing to try again.
-		l.answer(a.request, finalAnswer{kind: answerFailed, reason: "rejected by a server"})
+		// The request is invalid, and would be so at any server. It is not retried, and the
+		// outcome must not count against this server.
+		l.answer(a.request, finalAnswer{kind: answerFailed, reason: "a server answered with a client error"})
 		result.status = policy.Cancelled
 	}
 	l.reportOutcome(a, result.status, endedAt)
 }
 
-// abandon ends an attempt from this side. One that was not written yet can't
-// have run, and never will: its goroutine finds the phase changed.
+// abandon ends an attempt that has no result yet. If its write has not begun, the request has not
+// run and never will, because the attempt's goroutine finds the phase changed; its status is then
+// NotSent.
 func (l *loop) abandon(a *attempt, status policy.Status) {
 	if a.phase.CompareAndSwap(phaseUnsent, phaseAbandoned) {
 		status = policy.NotSent
@@ -435,9 +449,9 @@
 	l.reportOutcome(a, status, l.now)
 }
 
-// cutOff takes back the attempts that are not written whole by then, unless another end was
-// set since. One whose write is under way finds its connection broken and knows best whether
-// the last byte went out before that.
+// cancelUnwritten cancels the attempts of a request that are not fully written at their write
+// deadline, unless another write deadline has been set since. If a write is under way, its goroutine
+// finds the connection unusable and reports whether the last byte was written before that.
 func (l *loop) cancelUnwritten(r *request, deadline time.Duration) {
 	if r.writeDeadline.Load() != int64(deadline) {
 		return
@@ -453,7 +467,7 @@
 	}
 }
 
-// outcome tells the module of an attempt's end, once for each.
+// reportOutcome reports the end of an attempt to the Balancer. It is called once for each attempt.
 func (l *loop) reportOutcome(a *attempt, status policy.Status, endedAt time.Duration) {
 	r := a.request
 	a.outcomeReported = true
@@ -468,8 +482,8 @@
 	l.forgetIfDone(r)
 }
 
-// checkDrain counts an attempt that began at a server later than the grace after it was told to be out of
-// service: that must not happen.
+// checkDrainGrace counts and logs an attempt that began at a server later than the drain grace after
+// the server went out of service. Such an attempt is a violation of the drain rule.
 func (l *loop) checkDrainGrace(a *attempt) {
 	beganAt := time.Duration(a.beganAt.Load())
 	since, isOut := l.balancer.OutOfService(a.serverID)
@@ -477,12 +491,12 @@
 		return
 	}
 	total := l.metrics.drainViolations.Add(1)
-	l.requestLog.logger.Error("drain violation: an attempt began after the grace", "request", correlationID(a.request),
+	l.requestLog.logger.Error("drain violation: an attempt began after the drain grace", "request", correlationID(a.request),
 		"number", a.request.id, "attempt", a.index, "endpoint", l.servers[a.serverID].addr,
 		"late", beganAt-since-l.drainGrace, "total", total)
 }
 
-// answer gives the client its final answer; only the first one counts.
+// answer sends the final answer to the client. It ignores all answers of a request but the first.
 func (l *loop) answer(r *request, a finalAnswer) {
 	if !r.answered {
 		r.answered = true
@@ -491,17 +505,17 @@
 	}
 }
 
-// settle forgets a request that is answered and has nothing out.
+// forgetIfDone removes a request that is answered and has no attempt in flight.
 func (l *loop) forgetIfDone(r *request) {
 	if r.answered {
-		r.outgoing = nil // the heap may hold the request for a while
+		r.outgoing = nil // The heap of timers may refer to the request for a while.
 		if r.inFlight == 0 {
 			delete(l.requests, r.id)
 		}
 	}
 }
 
-// ---- actions
+// ---- Actions of the Balancer
 
 // Send implements policy.Host.
 func (l *loop) Send(id policy.RequestID, server policy.ServerID, timeout time.Duration) {
@@ -538,7 +552,7 @@
 	}()
 }
 
-// WriteBy implements policy.Host.
+// SetWriteDeadline implements policy.Host.
 func (l *loop) SetWriteDeadline(id policy.RequestID, deadline time.Duration) {
 	r := l.requests[id]
 	if r == nil {
@@ -554,7 +568,7 @@
 	l.deferForAttempt(id, index, func(a *attempt) { l.abandon(a, policy.Cancelled) })
 }
 
-// Withdraw implements policy.Host.
+// CancelUnsent implements policy.Host.
 func (l *loop) CancelUnsent(id policy.RequestID, index int) {
 	l.deferForAttempt(id, index, func(a *attempt) {
 		if a.phase.CompareAndSwap(phaseUnsent, phaseAbandoned) {
@@ -563,7 +577,8 @@
 	})
 }
 
-// later does something to an attempt after the present event, unless it is over by then.
+// deferForAttempt runs action on an attempt after the current event, unless the attempt's outcome
+// has been reported by then.
 func (l *loop) deferForAttempt(id policy.RequestID, index int, action func(*attempt)) {
 	r := l.requests[id]
 	if r == nil || index >= len(r.attempts) {
@@ -587,6 +602,7 @@
 	l.endRequest(id, finalAnswer{kind: answerFailed, reason: reason.String()})
 }
 
+// endRequest gives a request its final answer.
 func (l *loop) endRequest(id policy.RequestID, a finalAnswer) {
 	if r := l.requests[id]; r != nil {
 		l.answer(r, a)
@@ -599,13 +615,13 @@
 	l.scheduleAt(at, func() { l.balancer.TimerFired(l.now, token) })
 }
 
-// Ready implements policy.Host.
+// MarkReady implements policy.Host.
 func (l *loop) MarkReady() { l.onReady() }
 
-// CallList implements policy.Host.
+// StartCall implements policy.Host.
 func (l *loop) StartCall(call policy.Call) { l.callQueue.add(callCommand{call: call}) }
 
-// EndCall implements policy.Host.
+// CancelCall implements policy.Host.
 func (l *loop) CancelCall(id policy.CallID) {
 	l.callQueue.add(callCommand{call: policy.Call{ID: id}, abandons: true})
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -778,7 +778,7 @@
 // 135 ms after the first attempt, written after 299 ms, the window being 200 ms.
 func TestNothingIsWrittenAfterTheDedupWindow(t *testing.T) {
 	resets := func(int64, *http.Request, net.Conn) bool { return false }
-	hangs := func(_ int64, _ *http.Request, class net.Conn) bool { class.Read(make([]byte, 1)); return false }
+	hangs := func(_ int64, _ *http.Request, c net.Conn) bool { c.Read(make([]byte, 1)); return false }
 	for name, testCase := range map[string]struct {
 		first     func(t *testing.T) (addr string, up func() *fakeServer) // the two servers, in the
 		second    func(t *testing.T) (addr string, up func() *fakeServer) // order of the attempts
@@ -962,7 +962,7 @@
 	}
 }
 
-func TestKeyOfAPath(t *testing.T) {
+func TestPathKey(t *testing.T) {
 	if pathKey("") != 0 || pathKey("a/") != 0 {
 		t.Error("no last part, yet a key")
 	}
--- a/internal/node/request_log.go
+++ b/internal/node/request_log.go
@@ -15,8 +15,8 @@
 	enabled bool
 }
 
-func newRequestLog(log *slog.Logger) *requestLog {
-	return &requestLog{logger: log, enabled: log.Enabled(context.Background(), slog.LevelDebug)}
+func newRequestLog(logger *slog.Logger) *requestLog {
+	return &requestLog{logger: logger, enabled: logger.Enabled(context.Background(), slog.LevelDebug)}
 }
 
 // requestName is the id that a client gave its request; it is gone once the request is settled.
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -50,18 +50,18 @@
 // encode writes the whole request into memory, so that one write sends it and
 // tells whether its last byte went out. What stands in it has passed net/http's
 // checks on the way in, so no value holds a line's end.
-func (m *upstreamRequest) encode(timeLeft time.Duration) []byte {
-	text := make([]byte, 0, 512+len(m.body))
-	text = fmt.Appendf(text, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Time-Left: %.3f\r\n", m.method, m.uri, m.host, timeLeft.Seconds())
+func (r *upstreamRequest) encode(timeLeft time.Duration) []byte {
+	text := make([]byte, 0, 512+len(r.body))
+	text = fmt.Appendf(text, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Time-Left: %.3f\r\n", r.method, r.uri, r.host, timeLeft.Seconds())
 	for _, name := range forwardedHeaders {
-		for _, value := range m.header[name] {
+		for _, value := range r.header[name] {
 			text = fmt.Appendf(text, "%s: %s\r\n", name, value)
 		}
 	}
-	if m.method != http.MethodGet {
-		text = fmt.Appendf(text, "Content-Length: %d\r\n", len(m.body))
+	if r.method != http.MethodGet {
+		text = fmt.Appendf(text, "Content-Length: %d\r\n", len(r.body))
 	}
-	return append(append(text, "\r\n"...), m.body...)
+	return append(append(text, "\r\n"...), r.body...)
 }
 
 // backend is one life of a server. The pool goes by it, not by the address: a new
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -98,8 +98,8 @@
 func (u *upstream) ageIdleConns() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for _, list := range u.idleConns {
-		for _, c := range list {
+	for _, conns := range u.idleConns {
+		for _, c := range conns {
 			c.idleSince = c.idleSince.Add(-minIdleBeforeReuse)
 		}
 	}
@@ -108,7 +108,7 @@
 // always is a permit that says the same each time.
 type fixedPermit bool
 
-func (a fixedPermit) beginWrite() bool { return bool(a) }
+func (p fixedPermit) beginWrite() bool { return bool(p) }
 func (fixedPermit) finishWrite()       {}
 
 // yes lets an attempt be written.
@@ -119,8 +119,8 @@
 	t.Cleanup(func() {
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		for _, list := range u.idleConns {
-			for _, c := range list {
+		for _, conns := range u.idleConns {
+			for _, c := range conns {
 				u.close(c, closedUnusable)
 			}
 		}
@@ -321,7 +321,7 @@
 	}
 }
 
-func TestOldIdleConnectionIsRetired(t *testing.T) {
+func TestOldIdleConnectionIsClosed(t *testing.T) {
 	s, u := newFakeServer(t, respondWith(okResponse("x"), true)), newTestUpstream(t, 8)
 	for range 2 {
 		u.roundTrip(t.Context(), incarnationAt(s.addr), getRequest(), time.Second, allowWrite)
@@ -398,13 +398,13 @@
 	readyAt time.Time
 }
 
-func (l *slowPermit) beginWrite() bool {
-	<-time.After(l.delay)
-	l.readyAt = time.Now()
+func (p *slowPermit) beginWrite() bool {
+	<-time.After(p.delay)
+	p.readyAt = time.Now()
 	return true
 }
 
-func (l *slowPermit) finishWrite() {}
+func (p *slowPermit) finishWrite() {}
 
 // Guards the time that a server is told: what has passed while the connection came up is not left.
 func TestTimeLeftIsComputedWhenTheRequestIsWritten(t *testing.T) {
