--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -17,66 +17,75 @@
 )
 
 const (
-	// A connection that was idle for less than this is one that a client goes
-	// through in turn: a request may be on its way already, and would be lost.
+	// minIdleBeforeEviction is the time for which a connection must be idle before it may be evicted.
+	// One that is idle for less is likely in steady use: its next request may already be in transit,
+	// and would be lost.
 	minIdleBeforeEviction = time.Second
-	// Clients that connect to ask do so at once: their first head was seen to come
-	// within 2 ms. One that has sent none for so long gives way when room is needed.
+	// minSilenceBeforeEviction is the time for which a new connection must be without a whole request
+	// head before it may be evicted. Clients that want an answer send their first head within 2 ms.
 	minSilenceBeforeEviction = 50 * time.Millisecond
-	evictionInterval         = 25 * time.Millisecond
+	// evictionInterval is the time between two checks for connections to evict.
+	evictionInterval = 25 * time.Millisecond
 )
 
-// clients keeps the connections of clients within the node's descriptors. A
-// connection that is not accepted would wait in the kernel, where its request
-// counts as taken and goes unanswered. So while few are left, answers close
-// their connections; beyond most those go that have sent no whole head yet, then
-// the longest idle ones. If that won't do, because so many requests are open,
-// further ones are refused at once. More than most+spare are never accepted.
+// clientConns keeps the number of client connections within the node's file descriptors. A connection
+// that the node does not accept waits in the kernel's queue, where its request counts as received and
+// is never answered. Therefore the node sheds connections in steps:
+//   - If few file descriptors are left, each answer closes its connection.
+//   - Over maxConns connections, it evicts those that have sent no whole request head yet, and then
+//     those that have been idle longest.
+//   - If open requests alone take up more than maxConns connections, further requests are refused at
+//     once.
+//   - More than maxConns+headroom connections are never accepted.
 type clientConns struct {
 	maxConns, headroom int
 	log                *slog.Logger
 
 	mu           sync.Mutex
 	conns        map[*clientConn]struct{}
-	awaitingHead list.List // of *client with no head yet, the oldest first
-	idleConns    list.List // of *client, the longest idle first
-	evictedCount int       // evicted and not closed yet
+	awaitingHead list.List // The *clientConn without a whole request head yet, the oldest first.
+	idleConns    list.List // The idle *clientConn, the longest idle first.
+	evictedCount int       // The number of connections that are evicted and not closed yet.
 }
 
-// client is a client's connection. Closing one between two requests may cross the
-// next request, which then has reached the node's machine and gets no answer. So it
-// is never closed from outside: eviction ends the wait for data instead, and data
-// that has come by then wins.
+// clientConn is a client's connection. If the node closed one between two requests, the next request
+// could already have reached the node's machine, and would get no answer. Therefore eviction does not
+// close a connection: it ends the wait for data, and data that has arrived by then undoes the eviction.
 type clientConn struct {
 	net.Conn
 	owner       *clientConns
-	list        *list.List // silent or idle; nil while a request is open
-	element     *list.Element
-	listedSince time.Time // when it went there
-	isEvicted   bool      // evicted, unless data comes first
+	list        *list.List    // The list that holds the connection: awaitingHead, idleConns, or nil while a request is open.
+	element     *list.Element // The connection's element of the list.
+	listedSince time.Time     // The time at which the connection entered the list.
+	isEvicted   bool          // The connection closes unless data has arrived by then.
 
-	// What came behind an open request. Only Read touches it, which net/http calls one at a time.
+	// pipelined is what the client has sent after an open request. Only Read uses it, and net/http
+	// makes one call of Read at a time.
 	pipelined          []byte
-	pipelineOverflowed atomic.Bool // there was too much of it: the rest is lost, and the connection with it
+	pipelineOverflowed atomic.Bool // The client has sent more than maxPipelinedBytes. The rest is lost, so the connection must close.
 }
 
+// maxPipelinedBytes is how much the node keeps of what a client sends after an open request.
 const maxPipelinedBytes = 4 << 10
 
+// newClientConns returns a clientConns that uses no more than the given number of file descriptors.
 func newClientConns(descriptors int) *clientConns {
 	headroom := descriptors / 8
 	return &clientConns{maxConns: descriptors - headroom, headroom: headroom, log: slog.New(slog.DiscardHandler), conns: map[*clientConn]struct{}{}}
 }
 
-// clientListener accepts clients.
+// clientListener accepts connections as *clientConn.
 type clientListener struct {
 	net.Listener
 	owner *clientConns
 }
 
+// listener wraps a listener to accept no more connections than there are file descriptors for.
 func (cc *clientConns) listener(inner net.Listener) net.Listener {
 	return clientListener{netutil.LimitListener(retryingListener{inner, cc.log}, cc.maxConns+cc.headroom), cc}
 }
 
+// Accept implements net.Listener.
 func (l clientListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -85,29 +94,32 @@
 	return &clientConn{Conn: conn, owner: l.owner}, nil
 }
 
-// clientKey is where a request's context holds its connection.
+// clientConnKey is the key of a connection in the contexts of its requests.
 type clientConnKey struct{}
 
-// context is http.Server's ConnContext.
+// connContext adds a connection to the context of its requests. It is the ConnContext of the
+// http.Server.
 func (cc *clientConns) connContext(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, clientConnKey{}, conn)
 }
 
-// sentTooMuch tells that a request's connection can't be read any further.
+// pipelinedTooMuch reports whether the connection of a request can't be read any further because the
+// client has sent more pipelined data than the node keeps.
 func pipelinedTooMuch(r *http.Request) bool {
 	c, ok := r.Context().Value(clientConnKey{}).(*clientConn)
 	return ok && c.pipelineOverflowed.Load()
 }
 
+// pastDeadline is a deadline that ends a read at once.
 var pastDeadline = time.Unix(1, 0)
 
-// Read looks once more when the wait for a request is over, be it by eviction or by
-// net/http's time limit for idle connections: a node that gets little CPU may have
-// been stopped between that limit and here for long enough.
+// Read implements net.Conn. When the wait for a request ends, by eviction or by net/http's time limit
+// for idle connections, it reads once more: on a node that gets little CPU, a request may have arrived
+// between that limit and this call.
 //
-// While a request is open, net/http waits for its client's close in a read of one byte, and
-// looks no further once one has come. A client that sends on before it is answered and then
-// goes would not be missed, so that what comes is kept here and the wait goes on.
+// While a request is open, net/http detects a disconnect by a read of one byte, and stops looking once
+// a byte has arrived. It would miss the disconnect of a client that sends more before it has its
+// answer. Therefore Read keeps what arrives then as pipelined data, and goes on waiting for the close.
 func (c *clientConn) Read(b []byte) (int, error) {
 	if len(b) == 1 && !c.isWaiting() {
 		return 0, c.awaitClose()
@@ -134,7 +146,8 @@
 	return n, err
 }
 
-// watch reads until the client closes or net/http ends the wait.
+// awaitClose keeps what arrives as pipelined data until the client closes the connection or net/http
+// ends the wait.
 func (c *clientConn) awaitClose() error {
 	var b [512]byte
 	for {
@@ -151,7 +164,7 @@
 	}
 }
 
-// SetReadDeadline is net/http's; it does not undo an eviction.
+// SetReadDeadline implements net.Conn for net/http. It does not undo an eviction.
 func (c *clientConn) SetReadDeadline(at time.Time) error {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
@@ -161,20 +174,21 @@
 	return c.Conn.SetReadDeadline(at)
 }
 
+// isWaiting reports whether the connection has no open request.
 func (c *clientConn) isWaiting() bool {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
 	return c.list != nil || c.isEvicted
 }
 
-// stay undoes an eviction.
+// undoEviction keeps an evicted connection.
 func (c *clientConn) undoEviction() {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
 	c.undoEvictionLocked()
 }
 
-// remain is stay with the lock held.
+// undoEvictionLocked is undoEviction for callers that hold the lock.
 func (c *clientConn) undoEvictionLocked() {
 	if c.isEvicted {
 		c.isEvicted = false
@@ -183,7 +197,7 @@
 	}
 }
 
-// state is http.Server's ConnState.
+// onConnState follows the state of a connection. It is the ConnState callback of the http.Server.
 func (cc *clientConns) onConnState(conn net.Conn, state http.ConnState) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
@@ -194,7 +208,7 @@
 		cc.conns[c] = struct{}{}
 		c.moveTo(&cc.awaitingHead)
 	case http.StateActive:
-		c.undoEvictionLocked() // the request was read before the eviction and told only now
+		c.undoEvictionLocked() // net/http read the request before the eviction and reports it only now.
 	case http.StateIdle:
 		c.moveTo(&cc.idleConns)
 	case http.StateClosed, http.StateHijacked:
@@ -207,7 +221,7 @@
 	cc.evictExcess()
 }
 
-// move puts a connection into a list, or into none.
+// moveTo moves a connection to another list, or to none if to is nil. The caller holds the lock.
 func (c *clientConn) moveTo(to *list.List) {
 	if c.list != nil {
 		c.list.Remove(c.element)
@@ -217,7 +231,8 @@
 	}
 }
 
-// run evicts as connections come of age, when no change of state would.
+// evictPeriodically evicts connections once they are old enough, because no change of state marks that
+// moment. It returns when ctx has ended.
 func (cc *clientConns) evictPeriodically(ctx context.Context) {
 	for ticks := time.Tick(evictionInterval); ctx.Err() == nil; <-ticks {
 		cc.mu.Lock()
@@ -226,15 +241,18 @@
 	}
 }
 
-// count gives the connections that stay; it needs the lock.
+// remainingCount returns the number of connections that are not evicted. The caller holds the lock.
 func (cc *clientConns) remainingCount() int { return len(cc.conns) - cc.evictedCount }
 
-// evict makes room beyond most as far as that is safe; it needs the lock.
+// evictExcess evicts connections over maxConns as long as some may be evicted. The caller holds the
+// lock.
 func (cc *clientConns) evictExcess() {
 	for cc.remainingCount() > cc.maxConns && (cc.evictOldest(&cc.awaitingHead, minSilenceBeforeEviction) || cc.evictOldest(&cc.idleConns, minIdleBeforeEviction)) {
 	}
 }
 
+// evictOldest evicts the oldest connection of a list if it has been there for minAge. It reports
+// whether it did. The caller holds the lock.
 func (cc *clientConns) evictOldest(from *list.List, minAge time.Duration) bool {
 	oldest := from.Front()
 	if oldest == nil {
@@ -245,12 +263,13 @@
 		return false
 	}
 	c.evict()
-	cc.log.Debug("client connection evicted", "client", c.RemoteAddr().String(), "reason", "descriptors are short",
+	cc.log.Debug("client connection evicted", "client", c.RemoteAddr().String(), "reason", "few file descriptors are left",
 		"idle", time.Since(c.listedSince), "silent", from == &cc.awaitingHead)
 	return true
 }
 
-// evict needs the lock.
+// evict ends the connection's wait for data, so that net/http closes it unless data has arrived. The
+// caller holds the lock.
 func (c *clientConn) evict() {
 	c.moveTo(nil)
 	c.isEvicted = true
@@ -258,8 +277,8 @@
 	c.Conn.SetReadDeadline(pastDeadline)
 }
 
-// leave evicts all that have no request open; a request that has come by then is
-// answered. http.Server's Shutdown would cut it off.
+// evictAllWaiting evicts all connections without an open request. A request that has arrived by then is
+// still answered, where http.Server.Shutdown would drop it.
 func (cc *clientConns) evictAllWaiting() {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
@@ -270,21 +289,22 @@
 	}
 }
 
-// full tells that open requests alone take up all there is.
+// isFull reports whether open requests alone take up more than maxConns connections.
 func (cc *clientConns) isFull() bool {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	return cc.remainingCount()-cc.awaitingHead.Len()-cc.idleConns.Len() > cc.maxConns
 }
 
-// empty tells that no client is connected.
+// isEmpty reports whether no client is connected.
 func (cc *clientConns) isEmpty() bool {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	return len(cc.conns) == 0
 }
 
-// crowded tells that few descriptors are left.
+// isNearLimit reports whether few file descriptors are left: more than three quarters of maxConns
+// connections are open.
 func (cc *clientConns) isNearLimit() bool {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
--- a/internal/node/recent.go
+++ b/internal/node/recent_ids.go
@@ -7,19 +7,20 @@
 	"otterstep/policy"
 )
 
-// recentIDs knows the ids of requests that are open or were lately. Servers tell
-// requests apart by their ids, so a second one with the id of another client's open
-// request could be given that one's answer. It may also reach the node a moment
-// after that answer, so ids stay known for a while. Two generations of hashes keep
-// it small: each is dropped whole.
+// recentIDs is the set of ids of requests that are open or were received recently. Servers tell
+// requests apart by their ids, so a second request with the id of another client's open request could
+// get that request's answer. The second one may also arrive shortly after that answer, so ids stay in
+// the set for a while. The set keeps hashes of ids in two generations, and drops a whole generation at
+// a time to stay small.
 type recentIDs struct {
 	seed              maphash.Seed
-	generationLength  time.Duration
-	currentSince      time.Duration
+	generationLength  time.Duration // The time for which ids are added to one generation.
+	currentSince      time.Duration // The start of the current generation.
 	current, previous map[uint64]struct{}
 }
 
-// newRecentIDs keeps an id for longer than any request may be open.
+// newRecentIDs returns a set that keeps an id for at least the longest deadline of a class, so for as
+// long as any request may be open.
 func newRecentIDs(classes []policy.Class) recentIDs {
 	length := 2 * time.Second
 	for _, c := range classes {
@@ -28,7 +29,7 @@
 	return recentIDs{seed: maphash.MakeSeed(), generationLength: length, current: map[uint64]struct{}{}}
 }
 
-// add notes an id; false if it is known already.
+// add adds an id and reports whether it was new.
 func (ids *recentIDs) add(now time.Duration, id string) bool {
 	if now-ids.currentSince > ids.generationLength {
 		if ids.previous = ids.current; now-ids.currentSince > 2*ids.generationLength {
--- a/internal/node/request_log.go
+++ b/internal/node/request_log.go
@@ -8,8 +8,8 @@
 	"otterstep/policy"
 )
 
-// requestLog writes what happens to each request, by the id that its client gave it. It
-// writes at the debug level; at any other it costs one comparison.
+// requestLog logs what happens to each request at the debug level, by the id that its client gave it.
+// At other levels a call costs one comparison.
 type requestLog struct {
 	logger  *slog.Logger
 	enabled bool
@@ -19,7 +19,8 @@
 	return &requestLog{logger: logger, enabled: logger.Enabled(context.Background(), slog.LevelDebug)}
 }
 
-// requestName is the id that a client gave its request; it is gone once the request is settled.
+// correlationID returns the id that the client gave its request, or an empty string for an answered
+// request whose message has been released.
 func correlationID(r *request) string {
 	if r.outgoing == nil {
 		return ""
--- a/internal/node/answer.go
+++ b/internal/node/response.go
@@ -13,31 +13,33 @@
 )
 
 const (
-	maxInterimResponses  = 8        // 1xx answers ahead of the one that counts
-	maxResponseHeadBytes = 16 << 10 // of an answer, interim ones included
+	maxInterimResponses  = 8        // The limit of 1xx responses before the final one.
+	maxResponseHeadBytes = 16 << 10 // The size limit of all heads of a response, including those of interim ones.
 )
 
-// serverAnswer is an answer as it came from a server, whole.
+// serverResponse is a complete HTTP response from a server.
 type serverResponse struct {
 	statusCode int
 	header     textproto.MIMEHeader
 	body       []byte
-	closesConn bool // the server ends the connection behind it
+	closesConn bool // The server closes the connection after the response.
 }
 
-// errSpoilt is wrapped by whatever is wrong with an answer.
-var errMalformedResponse = errors.New("spoilt answer")
+// errMalformedResponse is the error that all errors about malformed responses wrap.
+var errMalformedResponse = errors.New("malformed response")
 
+// malformedResponse returns an error that wraps errMalformedResponse.
 func malformedResponse(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", errMalformedResponse, fmt.Sprintf(format, args...))
 }
 
-// readAnswer reads one answer. It is stricter than net/http's client, which takes
-// an answer with no length up to the end of its connection (here: for as long as
-// the client waits), drops a Content-Length beside a Transfer-Encoding and reads a
-// body of any length: an answer whose end two readers could see at two places
-// can't be told from the next one's beginning. begun is called with the first byte
-// of each head, and waiting before it.
+// readResponse reads one response. It calls beforeHead before it waits for each head, and onHeadStart
+// when the first byte of a head has arrived.
+//
+// It is stricter than net/http's client. That reads a response without a length up to the end of the
+// connection (here for as long as the client waits), drops a Content-Length beside a
+// Transfer-Encoding, and reads a body of any length. If two readers could see the end of a response at
+// different places, it is unclear where the next response begins.
 func readResponse(reader *bufio.Reader, beforeHead, onHeadStart func()) (serverResponse, error) {
 	for range maxInterimResponses + 1 {
 		beforeHead()
@@ -50,15 +52,16 @@
 		case err != nil:
 			return serverResponse{}, err
 		case response.statusCode == http.StatusSwitchingProtocols:
-			return serverResponse{}, malformedResponse("switches protocols")
+			return serverResponse{}, malformedResponse("status 101: protocol switch")
 		case response.statusCode >= 200:
 			response.body, err = readResponseBody(reader, response.header)
 			return response, err
 		}
 	}
-	return serverResponse{}, malformedResponse("over %d interim answers", maxInterimResponses)
+	return serverResponse{}, malformedResponse("more than %d interim responses", maxInterimResponses)
 }
 
+// readResponseHead reads the status line and the header of a response.
 func readResponseHead(reader *bufio.Reader) (response serverResponse, err error) {
 	headReader := textproto.NewReader(reader)
 	line, err := headReader.ReadLine()
@@ -80,6 +83,7 @@
 	return response, nil
 }
 
+// readResponseBody reads a body that has either a Content-Length or the chunked coding.
 func readResponseBody(reader *bufio.Reader, header textproto.MIMEHeader) ([]byte, error) {
 	lengths, encodings := header["Content-Length"], header["Transfer-Encoding"]
 	switch {
@@ -89,19 +93,19 @@
 			return nil, err
 		}
 		if len(body) > maxBodyBytes {
-			return nil, malformedResponse("body over the limit")
+			return nil, malformedResponse("chunked body over the size limit")
 		}
-		// Behind the last chunk come trailers, none as a rule, and an empty line.
+		// The last chunk is followed by trailers (usually none) and an empty line.
 		if _, err := textproto.NewReader(reader).ReadMIMEHeader(); err != nil {
 			return nil, err
 		}
 		return body, nil
 	case len(encodings) != 0 || len(lengths) != 1:
-		return nil, malformedResponse("%d lengths, %d codings", len(lengths), len(encodings))
+		return nil, malformedResponse("%d Content-Length and %d Transfer-Encoding headers", len(lengths), len(encodings))
 	}
 	length, err := strconv.ParseUint(lengths[0], 10, 63)
 	if err != nil || length > maxBodyBytes {
-		return nil, malformedResponse("length %.40q", lengths[0])
+		return nil, malformedResponse("Content-Length %.40q", lengths[0])
 	}
 	body := make([]byte, length)
 	_, err = io.ReadFull(reader, body)
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -18,38 +18,39 @@
 )
 
 const (
-	maxBodyBytes = 64 << 10 // of a request or an answer
+	// maxBodyBytes is the size limit of the body of a request or a response.
+	maxBodyBytes = 64 << 10
 
-	// A server writes its answer in one go, so one that stops half-way for so long
-	// will not go on: its length does not fit. Without this the attempt would hold
-	// its request until the client's time is up.
+	// responseStallTimeout is the time limit for a response from its first byte on. A server writes its
+	// response in one go, so one that is still incomplete after this time has a wrong length and will
+	// not continue. Without the limit, the attempt would hold its request until the client's deadline.
 	responseStallTimeout = 300 * time.Millisecond
-	// A connection rests for so long before its next request. What a server sent
-	// behind its answer has come by then and shows in quiet; on a connection used
-	// again at once it would be read as the next request's answer.
+	// minIdleBeforeReuse is the time for which a connection must be idle before its next request. What
+	// a server sends after its response has arrived by then, and isOpenAndSilent sees it. On a
+	// connection that is reused at once, it would be read as the response to the next request.
 	minIdleBeforeReuse = 10 * time.Millisecond
 )
 
-// forwarded are the client's headers that go on to servers unchanged.
+// forwardedHeaders are the headers that the node forwards from clients to servers unchanged.
 var forwardedHeaders = []string{
 	"X-Correlation-Id", "Idempotency-Key", "X-Service-Class", "X-Account", "X-Repeat",
 	"X-Weight-Hint", "X-Facts", "Content-Type", "Accept",
 }
 
-// message is a client's request as it goes on to servers. It does not change
-// once it is handed over, so attempts may share it.
+// upstreamRequest is a client's request as the node forwards it to servers. It does not change once
+// the Balancer has it, so attempts may share it.
 type upstreamRequest struct {
 	method         string
-	uri            string // as the client wrote it
+	uri            string // The request target exactly as the client wrote it.
 	host           string
 	header         http.Header
 	body           []byte
-	clientDeadline time.Duration // on the node's clock: the client gives up
+	clientDeadline time.Duration // The time on the node's clock at which the client gives up.
 }
 
-// encode writes the whole request into memory, so that one write sends it and
-// tells whether its last byte went out. What stands in it has passed net/http's
-// checks on the way in, so no value holds a line's end.
+// encode returns the whole request as bytes, so that one write sends it and shows whether its last
+// byte was sent. All values have passed net/http's checks of the client's request, so none contains a
+// line break.
 func (r *upstreamRequest) encode(timeLeft time.Duration) []byte {
 	text := make([]byte, 0, 512+len(r.body))
 	text = fmt.Appendf(text, "%s %s HTTP/1.1\r\nHost: %s\r\nX-Time-Left: %.3f\r\n", r.method, r.uri, r.host, timeLeft.Seconds())
@@ -64,75 +65,80 @@
 	return append(append(text, "\r\n"...), r.body...)
 }
 
-// backend is one life of a server. The pool goes by it, not by the address: a new
-// server may stand at the address of one that has gone, and must not be sent what
-// was left of the old one's connections.
+// serverIncarnation is a server at an address, from one start to the next. Connections are pooled by
+// incarnation and not by address: a new server may have the address of one that is gone, and must not
+// get requests on the old one's connections.
 type serverIncarnation struct {
 	id        policy.ServerID
 	addr      string
 	startedAt time.Duration
 }
 
-// reply is what came of an attempt; the body only where it was served.
+// attemptResult is the result of an attempt.
 type attemptResult struct {
 	status         policy.Status
 	contentType    string
-	body           []byte
-	invalidRequest bool // the server can't use the request
+	body           []byte // The body of the response if the status is OK.
+	invalidRequest bool   // The server has answered that the request is invalid.
 }
 
-// upstream carries out attempts on pooled connections, one request each at a
-// time. It does so by hand because net/http's Transport sends a GET, or anything
-// with an Idempotency-Key, once more by itself when a kept connection turns out
-// dead: an attempt that the module knows nothing of.
+// upstream carries out attempts on pooled connections to servers, one request at a time on each. It
+// does not use net/http's Transport, because that sends a GET, or any request with an
+// Idempotency-Key, again by itself if a pooled connection turns out to be dead: an attempt that the
+// Balancer does not know of.
 type upstream struct {
-	maxIdle  time.Duration // kept idle at most
+	maxIdle  time.Duration // The longest time that a connection is kept idle.
 	dialer   dialer
-	maxConns int // connections, idle ones included
+	maxConns int // The limit of open connections, including idle ones.
 	log      *slog.Logger
 
 	mu        sync.Mutex
-	idleConns map[serverIncarnation][]*serverConn // the latest used last
+	idleConns map[serverIncarnation][]*serverConn // The connections of each server, the most recently used last.
 	openConns int
 }
 
-// newUpstream retires idle connections well before servers do (connIdle): a
-// request that crosses a server's close ends as a reset that may have run.
+// newUpstream returns an upstream with at most maxConns connections. Servers close connections that
+// were idle for connIdle. The upstream closes them well before that, because a request that is in
+// transit when the server closes ends as a reset and may have run.
 func newUpstream(connIdle, connectTimeout time.Duration, maxConns int) *upstream {
 	return &upstream{
 		maxIdle: connIdle * 3 / 4, dialer: tcpDialer(connectTimeout), maxConns: maxConns, log: slog.New(slog.DiscardHandler), idleConns: map[serverIncarnation][]*serverConn{},
 	}
 }
 
+// serverConn is a connection to a server.
 type serverConn struct {
 	*net.TCPConn
 	incarnation  serverIncarnation
-	limitedInput io.LimitedReader // what an answer may still take of memory
-	reader       *bufio.Reader
+	limitedInput io.LimitedReader // The connection with a limit on the bytes that one response may take.
+	reader       *bufio.Reader    // A buffered reader of limitedInput.
 	idleSince    time.Time
 }
 
-var errConnLimit = errors.New("all sockets in use")
+// errConnLimit is the error of acquireConn when maxConns connections are open and none is idle.
+var errConnLimit = errors.New("connection limit reached, no idle connection to close")
 
-// permit is what an attempt's write has to ask and to say.
+// writePermit decides whether an attempt may be written, and follows its write.
 type writePermit interface {
-	beginWrite() bool // asked right before the first byte; if it says no, nothing is written
-	finishWrite()     // the last byte is out
+	// beginWrite reports whether the request may be written. It is called right before the first byte.
+	beginWrite() bool
+	// finishWrite is called once the last byte has been written.
+	finishWrite()
 }
 
-// roundTrip makes one attempt. The status follows from whether the last byte was
-// written: before that the request can't have run, after that it may have. The server is told
-// what is left of wait when the request is written, as its connection may have come up late.
+// roundTrip makes one attempt. Its status depends on whether the last byte of the request was written:
+// before that the request can't have run, and after that it may have. The connection may take long to
+// come up, so the server is told what is left of timeLeft when the request is written.
 func (u *upstream) roundTrip(ctx context.Context, incarnation serverIncarnation, outgoing *upstreamRequest, timeLeft time.Duration, permit writePermit) attemptResult {
 	startedAt := time.Now()
 	c, err := u.acquireConn(ctx, incarnation)
 	switch {
 	case errors.Is(err, errConnLimit) || isOneOf(err, localErrors):
-		return attemptResult{status: policy.NotSent} // our own limits say nothing of the server
+		return attemptResult{status: policy.NotSent} // The failure is the node's own and must not count against the server.
 	case err != nil:
 		return attemptResult{status: policy.ConnectFailed}
 	}
-	unregister := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) }) // wakes reads and writes
+	unregister := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) }) // A past deadline ends pending reads and writes.
 	if !permit.beginWrite() {
 		u.releaseConn(c, unregister())
 		return attemptResult{status: policy.NotSent}
@@ -148,8 +154,8 @@
 	return result
 }
 
-// read takes in an answer. What can't be read may have run, as may whatever is
-// neither 200 nor marked as unprocessed.
+// readResult reads a response, and reports whether the connection may be reused. If the response can't
+// be read, or is neither a 200 nor marked as unprocessed, the request may have run.
 func (c *serverConn) readResult(ctx context.Context) (result attemptResult, reusable bool) {
 	c.limitedInput.N = maxResponseHeadBytes + maxBodyBytes
 	response, err := readResponse(c.reader,
@@ -172,7 +178,7 @@
 	return result, !response.closesConn && c.reader.Buffered() == 0
 }
 
-// limit sets the time limit on reading, but leaves one in place that ctx has set.
+// setResponseDeadline sets the read deadline, unless ctx has ended: then a deadline in the past stays.
 func (c *serverConn) setResponseDeadline(ctx context.Context, at time.Time) {
 	c.SetReadDeadline(at)
 	if ctx.Err() != nil {
@@ -180,8 +186,9 @@
 	}
 }
 
-// get gives an idle connection that has settled, is young and open still, or a
-// new one.
+// acquireConn returns an idle connection that is idle for at least minIdleBeforeReuse and less than
+// maxIdle, and still open, or else a new one. If maxConns connections are open, it closes an idle one
+// first.
 func (u *upstream) acquireConn(ctx context.Context, incarnation serverIncarnation) (*serverConn, error) {
 	u.mu.Lock()
 	for {
@@ -222,7 +229,7 @@
 	return c, nil
 }
 
-// put takes a connection back, or closes it if it is of no further use.
+// releaseConn returns a connection to the pool, or closes it if it is not reusable.
 func (u *upstream) releaseConn(c *serverConn, reusable bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -234,24 +241,25 @@
 	u.idleConns[c.incarnation] = append(u.idleConns[c.incarnation], c)
 }
 
-// closeReason tells why a connection to a server was closed, for the log.
+// closeReason is the reason for closing a connection to a server, for the log.
 type closeReason string
 
 const (
 	closedStale    closeReason = "idle for too long, or closed by the server"
-	closedUnusable closeReason = "its attempt failed or was given up, or the server ends it"
-	closedForRoom  closeReason = "makes room for another connection"
+	closedUnusable closeReason = "its attempt failed or was abandoned, or the server closes it"
+	closedForRoom  closeReason = "closed to make room for another connection"
 	closedReplaced closeReason = "its server is gone or was replaced"
 )
 
-// close needs the lock.
+// close closes a connection. The caller holds the lock.
 func (u *upstream) close(c *serverConn, reason closeReason) {
 	u.openConns--
 	c.Close()
 	u.log.Debug("connection to server closed", "endpoint", c.incarnation.addr, "reason", string(reason))
 }
 
-// evict closes the connection that has been idle longest; it needs the lock.
+// evictOldestIdle closes the connection that has been idle longest, and reports whether there was one.
+// The caller holds the lock.
 func (u *upstream) evictOldestIdle() bool {
 	var oldest *serverConn
 	for _, conns := range u.idleConns {
@@ -267,7 +275,7 @@
 	return true
 }
 
-// drop closes the idle connections to a server that is gone.
+// closeIdle closes the idle connections to a server that is gone.
 func (u *upstream) closeIdle(incarnation serverIncarnation) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -277,8 +285,8 @@
 	delete(u.idleConns, incarnation)
 }
 
-// sweep closes idle connections that are old or that the server has closed, so
-// that they don't go on holding descriptors.
+// closeStale closes connections that have been idle for maxIdle or that the server has closed, so that
+// they no longer take up file descriptors.
 func (u *upstream) closeStale() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -298,8 +306,8 @@
 	}
 }
 
-// quiet tells that an idle connection is open and that nothing has come on it: a
-// look without waiting. A close that is seen here costs no request.
+// isOpenAndSilent reports whether an idle connection is open and has no unread data. It does not block.
+// If it detects that the server has closed the connection, no request is lost on it.
 func (c *serverConn) isOpenAndSilent() bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
