--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -185,7 +185,7 @@
 	}
 	var err error
 	if l.balancer, err = policy.New(settings, seed, l); err != nil {
-		return nil, fmt.Errorf("decision module: %w", err)
+		return nil, fmt.Errorf("create the balancer: %w", err)
 	}
 	return l, nil
 }
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -38,7 +38,7 @@
 }
 
 // upstreamRequest is a client's request as the node forwards it to servers. It does not change once
-// the Balancer has it, so attempts may share it.
+// the loop has submitted it, so attempts may share it.
 type upstreamRequest struct {
 	method         string
 	uri            string // The request target exactly as the client wrote it.
