--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -18,8 +18,8 @@
 	"otterstep/policy"
 )
 
-// raw sends bytes on a connection of its own and gives what comes back until its
-// end: a whole answer's code, or 0 for a mere close.
+// sendRaw sends bytes on a new connection and waits until the node closes it. It returns the status code
+// of a complete answer, or 0 if the node closes without one.
 func sendRaw(t *testing.T, addr, text string) (code int) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	go io.WriteString(c, text) // the node may stop reading at any place
+	go io.WriteString(c, text) // in a goroutine, as the node may stop reading at any point
 	c.SetReadDeadline(time.Now().Add(testTimeout))
 	in := bufio.NewReader(c)
 	resp, err := http.ReadResponse(in, nil)
@@ -38,17 +38,17 @@
 		return 0
 	}
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		return 0 // cut by a close while this side still sent
+		return 0 // cut off by a close while this side was still sending
 	}
 	if _, err := in.ReadByte(); err == nil {
-		t.Errorf("more behind answer %d", resp.StatusCode)
+		t.Errorf("more bytes after the answer %d", resp.StatusCode)
 	} else if ne, ok := err.(net.Error); ok && ne.Timeout() {
-		t.Errorf("the connection stays open behind answer %d", resp.StatusCode)
+		t.Errorf("the connection stays open after the answer %d", resp.StatusCode)
 	}
 	return resp.StatusCode
 }
 
-// written gives a request as bytes, with further header lines.
+// rawRequest returns a request as bytes, with further header lines.
 func rawRequest(t *testing.T, class string, headerLines ...string) string {
 	t.Helper()
 	var b bytes.Buffer
@@ -59,54 +59,53 @@
 	return head + "\r\n" + strings.Join(append(headerLines, ""), "\r\n") + "\r\n" + body
 }
 
-// Guards against clients that hold connections with what can't be used: each has an
-// error or a close in time, whatever it goes on sending, and nothing goes on to a
-// server. Two lengths could hide a second request in the first one's body (seen on
-// the bench: 72 such requests went on).
+// Guards against clients that hold connections with unusable input: each gets an error or a close in
+// time, whatever else it sends, and nothing is forwarded to a server. A request with two lengths could
+// hide a second request in its body.
 func TestUnusableInputGetsAnErrorOrAClose(t *testing.T) {
 	s := newFakeServer(t, respondWith(okResponse("x"), true))
 	addr, _ := startNode(t, newFakeDiscovery(t, inServiceEntry(s, "s1")))
 	smuggled := rawRequest(t, "read")
 	noLength := strings.Replace(rawRequest(t, "book"), "Content-Length: 7\r\n", "", 1)
-	for name, c := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		text  string
 		codes []int
 	}{
-		"silence":            {"", []int{0, 408}},
-		"half a head":        {"GET /read/1 HTTP/1.1\r\nHost: ap", []int{0, 408}},
-		"half a body":        {strings.TrimSuffix(rawRequest(t, "book"), "load"), []int{0, 408}},
-		"noise":              {"\x00\x01\xff\xfe\r\n\r\n\r\n", []int{0, 400}},
-		"head without end":   {strings.TrimSuffix(rawRequest(t, "read"), "\r\n") + strings.Repeat("X-Pad: pppppppppp\r\n", 20000), []int{0, 431}},
-		"line with no colon": {rawRequest(t, "read", "no colon"), []int{400}},
-		"both lengths":       {strings.Replace(rawRequest(t, "book", "Transfer-Encoding: chunked"), "payload", "0\r\n\r\n"+smuggled, 1), []int{411}},
-		"chunked":            {strings.Replace(noLength, "\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 1), []int{411}},
-		"negative length":    {strings.Replace(rawRequest(t, "book"), "Length: 7", "Length: -7", 1), []int{400}},
-		"length no number":   {strings.Replace(rawRequest(t, "book"), "Length: 7", "Length: ten", 1), []int{400}},
-		"two lengths":        {rawRequest(t, "book", "Content-Length: 9"), []int{400}},
-		"huge length":        {strings.Replace(rawRequest(t, "book"), "Length: 7", "Length: 99999999999999", 1), []int{0, 413}},
-		"60 MB":              {strings.Replace(rawRequest(t, "book"), "Length: 7", "Length: 62914560", 1) + strings.Repeat("b", 1<<20), []int{0, 413}},
-		"hundreds at once":   {strings.Repeat("GET /nope/1 HTTP/1.1\r\nHost: api\r\n\r\n", 500), []int{400}},
+		"silence":             {"", []int{0, 408}},
+		"half a head":         {"GET /read/1 HTTP/1.1\r\nHost: ap", []int{0, 408}},
+		"half a body":         {strings.TrimSuffix(rawRequest(t, "book"), "load"), []int{0, 408}},
+		"noise":               {"\x00\x01\xff\xfe\r\n\r\n\r\n", []int{0, 400}},
+		"head without end":    {strings.TrimSuffix(rawRequest(t, "read"), "\r\n") + strings.Repeat("X-Pad: pppppppppp\r\n", 20000), []int{0, 431}},
+		"line with no colon":  {rawRequest(t, "read", "no colon"), []int{400}},
+		"both lengths":        {strings.Replace(rawRequest(t, "book", "Transfer-Encoding: chunked"), "payload", "0\r\n\r\n"+smuggled, 1), []int{411}},
+		"chunked":             {strings.Replace(noLength, "\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 1), []int{411}},
+		"negative length":     {strings.Replace(rawRequest(t, "book"), "Length: 7", "Length: -7", 1), []int{400}},
+		"length not a number": {strings.Replace(rawRequest(t, "book"), "Length: 7", "Length: ten", 1), []int{400}},
+		"two lengths":         {rawRequest(t, "book", "Content-Length: 9"), []int{400}},
+		"huge length":         {strings.Replace(rawRequest(t, "book"), "Length: 7", "Length: 99999999999999", 1), []int{0, 413}},
+		"60 MB":               {strings.Replace(rawRequest(t, "book"), "Length: 7", "Length: 62914560", 1) + strings.Repeat("b", 1<<20), []int{0, 413}},
+		"hundreds at once":    {strings.Repeat("GET /nope/1 HTTP/1.1\r\nHost: api\r\n\r\n", 500), []int{400}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			code := sendRaw(t, addr, c.text)
-			for _, want := range c.codes {
+			code := sendRaw(t, addr, testCase.text)
+			for _, want := range testCase.codes {
 				if code == want {
 					return
 				}
 			}
-			t.Errorf("answered %d, want one of %v", code, c.codes)
+			t.Errorf("answered %d, want one of %v", code, testCase.codes)
 		})
 	}
 	t.Cleanup(func() {
 		if n := s.requests.Load(); n != 0 {
-			t.Errorf("%d requests went on, want 0", n)
+			t.Errorf("%d requests were forwarded, want 0", n)
 		}
 	})
 }
 
-// Guards rules 1 and 2: a second request with an open or late id must not share
-// the first one's answer, and must not disturb it.
+// Guards against a second request that has the id of an open request or of one just answered: it must
+// neither get the first one's answer nor affect it.
 func TestDuplicateRequestIDGetsAConflict(t *testing.T) {
 	arrived, release := make(chan struct{}, 1), make(chan struct{})
 	s := newFakeServer(t, func(_ int64, r *http.Request, c net.Conn) bool {
@@ -131,67 +130,67 @@
 	}()
 	<-arrived
 	if code, _, _ := doRequest(t, second); code != http.StatusConflict {
-		t.Errorf("answered %d while the first is open, want 409", code)
+		t.Errorf("answered %d while the first request is open, want 409", code)
 	}
 	close(release)
 	if got := <-done; got != "200 first" {
-		t.Errorf("the first is answered %s, want 200 first", got)
+		t.Errorf("the first request is answered %s, want 200 first", got)
 	}
 	if code, _, _ := doRequest(t, second.Clone(t.Context())); code != http.StatusConflict {
-		t.Errorf("answered %d right after the first, want 409", code)
+		t.Errorf("answered %d right after the first request, want 409", code)
 	}
 	if n := s.requests.Load(); n != 1 {
-		t.Errorf("%d requests went on, want 1", n)
+		t.Errorf("%d requests were forwarded, want 1", n)
 	}
 }
 
 func TestRecentIDsExpire(t *testing.T) {
 	ids := newRecentIDs(nil)
 	if !ids.add(0, "a") || ids.add(ids.generationLength, "a") {
-		t.Error("an id must be new once, and known for a while")
+		t.Error("an id must be new once, and known for one generation")
 	}
 	for i := range 1000 {
 		ids.add(time.Duration(i)*ids.generationLength/100, fmt.Sprint("b", i))
 	}
 	if n := len(ids.current) + len(ids.previous); n > 250 {
-		t.Errorf("%d ids held, want those of two generations", n)
+		t.Errorf("%d ids kept, want those of two generations", n)
 	}
 	if !ids.add(100*ids.generationLength, "a") {
-		t.Error("an id is held for good")
+		t.Error("an id is never forgotten")
 	}
 }
 
-// Guards against a node that silent connections shut: new ones never became idle,
-// so hundreds filled the cap and stalled the listener for seconds.
+// Guards against a node that silent connections make unreachable: a connection without a request never
+// becomes idle, so hundreds of them reached the limit and stalled the listener for seconds.
 func TestSilentConnectionsAreEvictedForNewOnes(t *testing.T) {
 	s := newFakeServer(t, respondWith(okResponse("x"), true))
 	addr, _ := startNode(t, newFakeDiscovery(t, inServiceEntry(s, "s1")))
 	var silent []net.Conn
-	for range 3 * testMaxClientConns {
+	for range 3 * excessClientConns {
 		c, _ := dialClient(t, addr)
 		silent = append(silent, c)
 	}
 	_, ask := dialClient(t, addr)
 	if code, err := ask(); code != http.StatusOK || err != nil {
-		t.Errorf("answered %d, %v behind silent connections; want 200", code, err)
+		t.Errorf("answered %d, %v with many silent connections open; want 200", code, err)
 	}
 	for _, c := range silent {
 		c.SetReadDeadline(time.Now().Add(testTimeout))
 		if _, err := c.Read(make([]byte, 1)); err == nil {
-			t.Fatal("a silent connection is sent something")
+			t.Fatal("the node sends something on a silent connection")
 		} else if ne, ok := err.(net.Error); ok && ne.Timeout() {
 			t.Fatal("a silent connection stays open")
 		}
 	}
 }
 
-// Guards rule 1 where few descriptors are left: the error is flushed before the
-// connection is cut, and must be whole all the same (seen on the bench: a usual
-// client whose id another had taken got a chunked answer with no end).
+// Guards against truncated errors if few file descriptors are left: the node flushes the error and
+// closes the connection at once, and the answer must still be complete. Without a Content-Length it was
+// a chunked answer with no end.
 func TestErrorNearTheConnectionLimitIsComplete(t *testing.T) {
 	s := newFakeServer(t, respondWith(okResponse("x"), true))
 	addr, _ := startNode(t, newFakeDiscovery(t, inServiceEntry(s, "s1")))
-	for range testMaxClientConns*3/4 + 1 {
+	for range excessClientConns*3/4 + 1 {
 		_, ask := dialClient(t, addr)
 		if code, err := ask(); code != http.StatusOK {
 			t.Fatalf("answered %d, %v; want 200", code, err)
@@ -202,8 +201,8 @@
 	}
 }
 
-// Guards rule 1 when a connection makes room for a new one: one in use lately is
-// left alone, and a request that has come by then is read, not cut off.
+// Guards against requests that are lost when a connection is evicted for a new one: a recently used
+// connection is not evicted, and a request that has arrived by then is read.
 func TestReceivedDataUndoesAnEviction(t *testing.T) {
 	group := newClientConns(1)
 	add := func() (*clientConn, net.Conn) {
@@ -217,24 +216,24 @@
 	first, peer := add()
 	second, _ := add()
 	if group.evictedCount != 0 {
-		t.Error("a connection in use lately is evicted")
+		t.Error("a recently used connection is evicted")
 	}
 	first.listedSince = time.Now().Add(-2 * minIdleBeforeEviction)
 	group.onConnState(second, http.StateActive)
 	if !first.isEvicted || second.isEvicted {
-		t.Fatal("the longest idle connection stays")
+		t.Fatal("the connection that has been idle longest is not evicted")
 	}
 	if first.SetReadDeadline(time.Time{}); !first.isEvicted { // as net/http does
-		t.Error("a new time limit undoes the eviction")
+		t.Error("a new read deadline undoes the eviction")
 	}
 	go io.WriteString(peer, "GET")
-	waitFor(t, "data that wins", func() bool {
+	waitFor(t, "data on the evicted connection", func() bool {
 		b := make([]byte, 3)
 		n, _ := first.Read(b)
 		return string(b[:n]) == "GET"
 	})
 	if first.isEvicted || group.remainingCount() != 2 {
-		t.Error("the connection is still to go")
+		t.Error("the connection is still evicted after a read")
 	}
 	group.onConnState(first, http.StateIdle)
 	first.listedSince = time.Now().Add(-2 * minIdleBeforeEviction)
@@ -244,12 +243,12 @@
 	}
 	group.onConnState(first, http.StateClosed)
 	if group.remainingCount() != 1 || group.evictedCount != 0 {
-		t.Errorf("%d connections, %d leaving; want 1, 0", group.remainingCount(), group.evictedCount)
+		t.Errorf("%d connections remain, %d are evicted; want 1, 0", group.remainingCount(), group.evictedCount)
 	}
 }
 
-// Guards rule 1 at the end of a drain: idle connections end, but one on which a
-// request has come by then is left to answer it.
+// Guards against requests that are lost at the end of a drain: idle connections are evicted, but one on
+// which a request has arrived by then is kept until the request is answered.
 func TestReceivedDataUndoesAnEvictionByDrain(t *testing.T) {
 	group := newClientConns(8)
 	var conns [2]*clientConn
@@ -264,17 +263,16 @@
 	}
 	group.evictAllWaiting()
 	go io.WriteString(peers[0], "GET")
-	waitFor(t, "data that wins", func() bool {
+	waitFor(t, "data on the evicted connection", func() bool {
 		n, _ := conns[0].Read(make([]byte, 3))
 		return n == 3
 	})
 	if _, err := conns[1].Read(make([]byte, 1)); err == nil || group.evictedCount != 1 {
-		t.Errorf("read %v, %d leaving; want the other connection to go", err, group.evictedCount)
+		t.Errorf("read %v, %d evicted; want the other connection evicted", err, group.evictedCount)
 	}
 }
 
-// startFront runs a front with one server behind it, and hands what net/http says of
-// connections to state.
+// startFront runs a front with one server. It calls state for each change of a connection's state.
 func startFront(t *testing.T, s *fakeServer, state func(*clientConns, net.Conn, http.ConnState)) (l *loop, addr string) {
 	t.Helper()
 	site := parseTestSite(t, testSettings)
@@ -301,12 +299,13 @@
 	return l, listener.Addr().String()
 }
 
-// Guards the term that nothing begins 0.1 s after its client went, for a client that had sent
-// on behind its request: net/http looks no further than the first byte of that.
+// Guards against attempts that begin more than 0.1 s after their client has disconnected. The client has
+// sent pipelined data after its request; net/http stops looking for a disconnect at the first byte of
+// that.
 func TestDisconnectOfAPipeliningClientIsDetected(t *testing.T) {
 	twoRequests := rawRequest(t, "book") + rawRequest(t, "read")
 	for name, pipelined := range map[string]string{
-		"a byte": "\n", "whole requests": twoRequests, "more than is kept": strings.Repeat(twoRequests, 200),
+		"a byte": "\n", "whole requests": twoRequests, "more than the node keeps": strings.Repeat(twoRequests, 200),
 	} {
 		t.Run(name, func(t *testing.T) {
 			arrived, hold := make(chan struct{}, 8), make(chan struct{})
@@ -323,9 +322,9 @@
 			c.Close()
 			open := make(chan int)
 			waitFor(t, "end of the request", func() bool { l.post(func() { open <- len(l.requests) }); return <-open == 0 })
-			close(hold) // a safe request would be sent again now
+			close(hold) // An open idempotent request would be retried now.
 			if time.Since(closedAt) > 2*time.Second {
-				t.Error("it ended with its time, not with its client")
+				t.Error("the request ended at its deadline, not with its client")
 			}
 			if n := s.requests.Load(); n != 1 {
 				t.Errorf("%d attempts, want 1", n)
@@ -334,7 +333,8 @@
 	}
 }
 
-// What a client sends behind an open request is read once that is answered, up to a limit.
+// Guards against pipelined data that is lost, and against keeping any amount of it: the node reads what
+// a client sends after an open request once that is answered, up to a limit.
 func TestPipelinedDataIsReadAfterTheAnswer(t *testing.T) {
 	arrived, hold := make(chan struct{}, 8), make(chan struct{})
 	s := newFakeServer(t, func(n int64, _ *http.Request, c net.Conn) bool {
@@ -382,7 +382,7 @@
 	<-arrived
 	go io.WriteString(c, strings.Repeat(rawRequest(t, "read"), 2*maxPipelinedBytes/100))
 	nodeConn := <-conns
-	waitFor(t, "more than is kept", nodeConn.pipelineOverflowed.Load)
+	waitFor(t, "overflow of the pipelined data", nodeConn.pipelineOverflowed.Load)
 	close(hold)
 	expectAnswer("1", true)
 	if n := s.requests.Load(); n != 1 {
@@ -390,9 +390,8 @@
 	}
 }
 
-// Guards rules 1 and 2 where a connection is told to go between its request's last byte and
-// net/http's word that a request is open: the client was answered 200 with no body while a
-// server worked on what it had asked for.
+// Guards against an eviction between the last byte of a request and net/http's report that the request
+// is open: the client got a 200 with an empty body while a server worked on its request.
 func TestRequestThatCrossesAnEvictionIsAnswered(t *testing.T) {
 	arrived, hold := make(chan struct{}), make(chan struct{})
 	s := newFakeServer(t, func(_ int64, _ *http.Request, c net.Conn) bool {
@@ -422,14 +421,14 @@
 	select {
 	case <-arrived:
 	case a := <-answered:
-		t.Fatalf("answered %d %q before a server had the request", a.code, a.body)
+		t.Fatalf("answered %d %q before a server got the request", a.code, a.body)
 	case <-time.After(testTimeout):
-		t.Fatal("neither sent on nor answered")
+		t.Fatal("the request is neither forwarded nor answered")
 	}
 	select {
 	case a := <-answered:
 		t.Fatalf("answered %d %q while a server works on the request", a.code, a.body)
-	case <-time.After(100 * time.Millisecond): // longer than a look at the connection takes
+	case <-time.After(100 * time.Millisecond): // longer than a check of the connection takes
 		close(hold)
 	}
 	if a := <-answered; a.code != http.StatusOK || a.body != "mine" {
@@ -440,8 +439,8 @@
 	}
 }
 
-// Guards rule 1 where a client ends its sending and still reads: it counts as gone, and is
-// told nothing, least of all a 200 that no server made.
+// Guards against an answer that no server gave, such as a 200 with an empty body, to a client that
+// closes its sending side and goes on reading: the client counts as disconnected and gets no answer.
 func TestHalfClosedClientGetsNoAnswer(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
@@ -456,12 +455,12 @@
 	c.(*net.TCPConn).CloseWrite()
 	c.SetReadDeadline(time.Now().Add(testTimeout))
 	if b, err := io.ReadAll(c); len(b) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("told %q, %v; want a close", b, err)
+		t.Errorf("got %q, %v; want a close", b, err)
 	}
 }
 
-// Guards the memory limit: bodies are bounded together, by their declared lengths
-// and before any of it is read.
+// Guards against bodies that take too much memory together: the node counts their declared lengths
+// before it reads them.
 func TestLargeBodiesShareAByteBudget(t *testing.T) {
 	f := newFront(&loop{clock: newClock()}, wire.NodeSettings{ClassNames: []string{"book"}}, newClientConns(8), 10<<10, func() bool { return true })
 	f.settings.Policy.Classes = parseTestSite(t, testSettings).Policy.Classes[2:]
@@ -475,21 +474,21 @@
 		return w.Code, body.n
 	}
 	if !f.bodyBudget.reserve(6 << 10) {
-		t.Fatal("no room at all")
+		t.Fatal("the budget is too small for one body")
 	}
 	if code, read := ask(); code != http.StatusServiceUnavailable || read != 0 {
-		t.Errorf("answered %d after %d bytes, want a refusal unread", code, read)
+		t.Errorf("answered %d after %d bytes, want a refusal without reading the body", code, read)
 	}
 	f.bodyBudget.release(6 << 10)
 	if code, read := ask(); code != http.StatusRequestTimeout || read == 0 {
 		t.Errorf("answered %d after %d bytes, want the short body to be read", code, read)
 	}
 	if n := f.bodyBudget.used.Load(); n != 0 {
-		t.Errorf("%d bytes are still booked", n)
+		t.Errorf("%d bytes are still reserved", n)
 	}
 }
 
-// countingReader gives a little and ends.
+// countingReader is a body of one byte that counts what has been read.
 type countingReader struct{ n int64 }
 
 func (c *countingReader) Read(b []byte) (int, error) {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -21,6 +21,7 @@
 	"otterstep/policy"
 )
 
+// testSettings are settings with one tenant, one zone and a class of each kind of idempotency.
 const testSettings = `{
  "Accounts": [{"Name": "acme", "QuotaPerS": 1000}],
  "Classes": [
@@ -30,21 +31,21 @@
  "Limits": {"MaxAttempts": 4, "Cancel": true, "RetryAfter": true, "MaxRetryAfterMs": 600, "ConnectTimeoutMs": 5000},
  "Zones": ["a"]}`
 
-// registry is a scripted discovery.
+// fakeDiscovery is a stand-in for discovery that a test controls.
 type fakeDiscovery struct {
 	*httptest.Server
 	mu                 sync.Mutex
 	version            int64
 	entries            map[string]listEntry
-	changedAtVersion   map[string]int64 // uid: version of the last change
-	changed            chan struct{}    // closed and replaced at each change
+	changedAtVersion   map[string]int64 // The version of the last change of each uid.
+	changed            chan struct{}    // A channel that each change closes and replaces.
 	isDown             bool
-	silentWatches      chan<- time.Time // watches that begin say so here and are never answered
+	silentWatches      chan<- time.Time // If set, each new watch sends the time here and is never answered.
 	failedCalls        int
-	malformedList      string // answered in place of any list, if set
-	onRequest          bool   // the settings say that nodes have to ask
-	watchedFromVersion int64  // the version that the latest watch is from
-	wholeListCalls     int    // calls for the whole list
+	malformedList      string // If set, the text of all answers in place of a list.
+	onRequest          bool   // The settings have nodes call for the list ("on_request").
+	watchedFromVersion int64  // The version that the latest watch asked from.
+	wholeListCalls     int    // The number of calls for the whole list.
 }
 
 func newFakeDiscovery(t *testing.T, entries ...listEntry) *fakeDiscovery {
@@ -57,14 +58,16 @@
 	return d
 }
 
-func (d *fakeDiscovery) update(f func()) {
+// update runs a change of the stand-in's state, and ends the watches that are open.
+func (d *fakeDiscovery) update(apply func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	f()
+	apply()
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
+// change makes a new version of the list with one changed entry.
 func (d *fakeDiscovery) change(entry listEntry) {
 	d.update(func() { d.version++; d.entries[entry.UID], d.changedAtVersion[entry.UID] = entry, d.version })
 }
@@ -81,11 +84,11 @@
 		d.watchedFromVersion = since
 		if changed := d.changed; since >= d.version {
 			wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
-			silent := d.silentWatches
+			silentWatches := d.silentWatches
 			d.mu.Unlock()
 			timeout := time.After(time.Duration(wait) * time.Millisecond)
-			if silent != nil {
-				silent <- time.Now()
+			if silentWatches != nil {
+				silentWatches <- time.Now()
 				changed, timeout = nil, nil
 			}
 			select {
@@ -115,7 +118,7 @@
 	json.NewEncoder(w).Encode(list)
 }
 
-// told waits until the node has taken in all there is: it watches from there.
+// awaitSynced waits until the node has the latest version, which shows in a watch from that version.
 func (d *fakeDiscovery) awaitSynced(t *testing.T) {
 	t.Helper()
 	waitFor(t, "watch from the latest version", func() bool {
@@ -125,10 +128,12 @@
 	})
 }
 
+// inServiceEntry returns the list entry of a server that is in service.
 func inServiceEntry(s *fakeServer, uid string) listEntry {
 	return listEntry{UID: uid, Endpoint: s.addr, AZ: "a", State: "in_service", CapacityHint: 1}
 }
 
+// parseTestSite parses the settings of a node.
 func parseTestSite(t testing.TB, text string) wire.NodeSettings {
 	t.Helper()
 	site, err := wire.ParseNodeSettings([]byte(text))
@@ -138,12 +143,14 @@
 	return site
 }
 
-// startNode runs a node until the test ends; stop drains it.
+// startNode starts a node that runs until the test ends, and waits until it is ready. The function stop
+// drains it.
 func startNode(t *testing.T, d *fakeDiscovery, known ...listEntry) (addr string, stop func() error) {
 	t.Helper()
 	return startNodeWith(t, d, ConfigReloader{}, known...)
 }
 
+// startNodeWith is startNode for a node that reloads its configuration.
 func startNodeWith(t *testing.T, d *fakeDiscovery, reloader ConfigReloader, known ...listEntry) (addr string, stop func() error) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -158,12 +165,12 @@
 // testNode is a node that runs until its test ends.
 type testNode struct {
 	addr  string
-	ended chan struct{} // closed once it has ended by itself or was stopped
-	err   error         // with which it ended
-	stop  func() error  // drains it
+	ended chan struct{} // A channel that closes when the node has ended, by itself or by stop.
+	err   error         // The error with which the node has ended.
+	stop  func() error  // A function that drains the node and returns err.
 }
 
-// startNodeOn runs a node on a listener.
+// startNodeOn starts a node on a listener.
 func startNodeOn(t *testing.T, l net.Listener, d *fakeDiscovery, reloader ConfigReloader, known ...listEntry) *testNode {
 	t.Helper()
 	settingsText := testSettings
@@ -182,19 +189,19 @@
 	}()
 	n.stop = func() error { cancel(); <-n.ended; return n.err }
 	t.Cleanup(func() {
-		http.DefaultClient.CloseIdleConnections() // the drain need not wait for them
+		http.DefaultClient.CloseIdleConnections() // The drain need not wait for idle connections.
 		n.stop()
 	})
 	return n
 }
 
-// awaitUp waits until the node says that it is ready.
+// awaitReady waits until the node reports that it is ready.
 func (n *testNode) awaitReady(t *testing.T) {
 	t.Helper()
-	waitFor(t, "node that is up", func() bool {
+	waitFor(t, "ready node", func() bool {
 		select {
 		case <-n.ended:
-			t.Fatalf("the node ends: %v", n.err)
+			t.Fatalf("the node ended: %v", n.err)
 		default:
 		}
 		resp, err := http.Get("http://" + n.addr + "/up")
@@ -206,10 +213,11 @@
 	})
 }
 
-var lastClientRequestID atomic.Int64 // of clients' requests: each has its own
+// lastClientRequestID is the number in the latest id of a client's request. Each request has its own id.
+var lastClientRequestID atomic.Int64
 
-// clientRequest makes a client's request of a class, as PROTOCOL words it.
-func newClientRequest(t *testing.T, addr, class, left string) *http.Request {
+// newClientRequest returns a valid client's request of a class.
+func newClientRequest(t *testing.T, addr, class, timeLeft string) *http.Request {
 	t.Helper()
 	method, body := http.MethodPost, "payload"
 	if class == "read" {
@@ -220,7 +228,7 @@
 		t.Fatal(err)
 	}
 	for name, value := range map[string]string{
-		"X-Correlation-Id": fmt.Sprint("id-", lastClientRequestID.Add(1)), "X-Service-Class": class, "X-Account": "acme", "X-Time-Left": left,
+		"X-Correlation-Id": fmt.Sprint("id-", lastClientRequestID.Add(1)), "X-Service-Class": class, "X-Account": "acme", "X-Time-Left": timeLeft,
 	} {
 		r.Header.Set(name, value)
 	}
@@ -230,7 +238,7 @@
 	return r
 }
 
-// do gives the answer's status, header and body.
+// doRequest sends a request and returns the status code, header and body of the answer.
 func doRequest(t *testing.T, r *http.Request) (int, http.Header, string) {
 	t.Helper()
 	resp, err := http.DefaultClient.Do(r)
@@ -249,9 +257,9 @@
 	got := make(chan string, 1)
 	s := newFakeServer(t, func(_ int64, r *http.Request, c net.Conn) bool {
 		body, _ := io.ReadAll(r.Body)
-		left, err := strconv.ParseFloat(r.Header.Get("X-Time-Left"), 64)
+		timeLeft, err := strconv.ParseFloat(r.Header.Get("X-Time-Left"), 64)
 		got <- fmt.Sprint(r.Method, " ", r.RequestURI, " ", r.Header.Get("X-Correlation-Id"), " ",
-			r.Header.Get("Idempotency-Key"), " ", string(body), " ", err == nil && left > 0 && left < 2.5)
+			r.Header.Get("Idempotency-Key"), " ", string(body), " ", err == nil && timeLeft > 0 && timeLeft < 2.5)
 		io.WriteString(c, okResponse("made for you"))
 		return true
 	})
@@ -281,21 +289,21 @@
 		corrupt func(r *http.Request)
 		code    int
 	}{
-		"unknown class":   {"read", func(r *http.Request) { r.Header.Set("X-Service-Class", "nope") }, 400},
-		"unknown account": {"read", func(r *http.Request) { r.Header.Set("X-Account", "nobody") }, 400},
-		"no id":           {"read", func(r *http.Request) { r.Header.Del("X-Correlation-Id") }, 400},
-		"two ids":         {"read", func(r *http.Request) { r.Header.Add("X-Correlation-Id", "b") }, 400},
-		"other path":      {"read", func(r *http.Request) { r.URL.Path, r.URL.RawPath = "/book/1", "" }, 400},
-		"no time":         {"read", func(r *http.Request) { r.Header.Del("X-Time-Left") }, 400},
-		"negative time":   {"read", func(r *http.Request) { r.Header.Set("X-Time-Left", "-1") }, 400},
-		"time no number":  {"read", func(r *http.Request) { r.Header.Set("X-Time-Left", "NaN") }, 400},
-		"endless time":    {"read", func(r *http.Request) { r.Header.Set("X-Time-Left", "99999999999999999999999") }, 400},
-		"chunked":         {"book", func(r *http.Request) { r.ContentLength = -1 }, 411},
-		"body of a GET":   {"read", func(r *http.Request) { r.Body, r.ContentLength = io.NopCloser(strings.NewReader("x")), 1 }, 400},
-		"hint no number":  {"read", func(r *http.Request) { r.Header.Set("X-Weight-Hint", "x") }, 400},
-		"wrong method":    {"book", func(r *http.Request) { r.Method = http.MethodPut }, 405},
-		"no key":          {"push", func(r *http.Request) { r.Header.Del("Idempotency-Key") }, 400},
-		"unsafe with key": {"book", func(r *http.Request) { r.Header.Set("Idempotency-Key", "k") }, 400},
+		"unknown class":     {"read", func(r *http.Request) { r.Header.Set("X-Service-Class", "nope") }, 400},
+		"unknown account":   {"read", func(r *http.Request) { r.Header.Set("X-Account", "nobody") }, 400},
+		"no id":             {"read", func(r *http.Request) { r.Header.Del("X-Correlation-Id") }, 400},
+		"two ids":           {"read", func(r *http.Request) { r.Header.Add("X-Correlation-Id", "b") }, 400},
+		"other path":        {"read", func(r *http.Request) { r.URL.Path, r.URL.RawPath = "/book/1", "" }, 400},
+		"no time":           {"read", func(r *http.Request) { r.Header.Del("X-Time-Left") }, 400},
+		"negative time":     {"read", func(r *http.Request) { r.Header.Set("X-Time-Left", "-1") }, 400},
+		"time not a number": {"read", func(r *http.Request) { r.Header.Set("X-Time-Left", "NaN") }, 400},
+		"endless time":      {"read", func(r *http.Request) { r.Header.Set("X-Time-Left", "99999999999999999999999") }, 400},
+		"chunked":           {"book", func(r *http.Request) { r.ContentLength = -1 }, 411},
+		"body of a GET":     {"read", func(r *http.Request) { r.Body, r.ContentLength = io.NopCloser(strings.NewReader("x")), 1 }, 400},
+		"hint not a number": {"read", func(r *http.Request) { r.Header.Set("X-Weight-Hint", "x") }, 400},
+		"wrong method":      {"book", func(r *http.Request) { r.Method = http.MethodPut }, 405},
+		"no key":            {"push", func(r *http.Request) { r.Header.Del("Idempotency-Key") }, 400},
+		"unsafe with key":   {"book", func(r *http.Request) { r.Header.Set("Idempotency-Key", "k") }, 400},
 		"body too long": {"book", func(r *http.Request) {
 			r.Body, r.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("a", maxBodyBytes+1))), maxBodyBytes+1
 		}, 413},
@@ -307,16 +315,16 @@
 		}
 	}
 	if n := s.requests.Load(); n != 0 {
-		t.Errorf("%d requests went on, want 0", n)
+		t.Errorf("%d requests were forwarded, want 0", n)
 	}
 }
 
-// Guards against work and connections that are kept for a client who has left.
+// Guards against work and connections for a client that has disconnected.
 func TestClientDisconnectEndsTheAttempt(t *testing.T) {
 	arrived, closed := make(chan struct{}), make(chan struct{})
 	s := newFakeServer(t, func(_ int64, _ *http.Request, c net.Conn) bool {
 		close(arrived)
-		c.Read(make([]byte, 1)) // returns once the node closes
+		c.Read(make([]byte, 1)) // returns when the node closes the connection
 		close(closed)
 		return false
 	})
@@ -333,15 +341,15 @@
 		t.Fatal("the attempt's connection stays open")
 	}
 	if time.Since(began) > 2900*time.Millisecond {
-		t.Skip("too slow a machine to tell leaving from the deadline")
+		t.Skip("the machine is too slow to distinguish the disconnect from the deadline")
 	}
 	if n := s.requests.Load(); n != 1 {
 		t.Errorf("%d attempts, want 1", n)
 	}
 }
 
-// A server that stays silent: the client has its final answer when its time is
-// up, and only a class that may be repeated is told to try again.
+// Guards against clients without an answer at their deadline if a server does not respond. The final
+// answer is a refusal only for a class whose requests may be repeated.
 func TestDeadlineWithAnUnresponsiveServer(t *testing.T) {
 	for class, want := range map[string]int{"read": 503, "push": 503, "book": 502} {
 		closed := make(chan struct{}, 8)
@@ -357,12 +365,12 @@
 			t.Errorf("%s: answered %d, want %d", class, code, want)
 		}
 		if took := time.Since(began); took < 200*time.Millisecond {
-			t.Errorf("%s: answered after %v, before the time was up", class, took)
+			t.Errorf("%s: answered after %v, before the deadline", class, took)
 		}
 		select {
 		case <-closed:
 		case <-time.After(testTimeout):
-			t.Errorf("%s: the attempt goes on", class)
+			t.Errorf("%s: the attempt does not end", class)
 		}
 	}
 }
@@ -371,8 +379,8 @@
 	addr, _ := startNode(t, newFakeDiscovery(t)) // no server at all
 	began := time.Now()
 	code, header, _ := doRequest(t, newClientRequest(t, addr, "push", "2.9"))
-	after, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
-	if code != http.StatusServiceUnavailable || err != nil || after <= 0 || after > 0.6 {
+	retryAfter, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
+	if code != http.StatusServiceUnavailable || err != nil || retryAfter <= 0 || retryAfter > 0.6 {
 		t.Errorf("answered %d with Retry-After %q, want 503 and at most 0.6", code, header.Get("Retry-After"))
 	}
 	if took := time.Since(began); took > 2*time.Second {
@@ -380,7 +388,7 @@
 	}
 }
 
-// Guards rule 3: no request goes to a server once its drain was told.
+// Guards against requests to a server once discovery has reported that it drains.
 func TestDrainingServerGetsNoRequests(t *testing.T) {
 	s1, s2 := newFakeServer(t, respondWith(okResponse("1"), true)), newFakeServer(t, respondWith(okResponse("2"), true))
 	d := newFakeDiscovery(t, inServiceEntry(s1, "s1"), inServiceEntry(s2, "s2"))
@@ -402,12 +410,12 @@
 		}
 	}
 	if n := drainingServer.requests.Load(); n != before {
-		t.Errorf("%d requests to the draining server", n-before)
+		t.Errorf("%d requests to the draining server, want 0", n-before)
 	}
 }
 
-// Where lists are pushed the node watches on its own; where they are asked for,
-// the module hears of the failure and says when to call again.
+// Guards against a watch that does not resume after a failure of discovery, with both kinds of list
+// ("pushed" and "on_request"). The node serves from its old list until then.
 func TestWatchResumesAfterADiscoveryOutage(t *testing.T) {
 	for name, onRequest := range map[string]bool{"pushed": false, "asked": true} {
 		t.Run(name, func(t *testing.T) {
@@ -423,12 +431,12 @@
 				return d.failedCalls >= 2
 			})
 			if code, _, body := doRequest(t, newClientRequest(t, addr, "read", "2.5")); code != http.StatusOK || body != "1" {
-				t.Errorf("answered %d %q while discovery is down, want the old list to hold", code, body)
+				t.Errorf("answered %d %q while discovery is down, want 200 from the server of the old list", code, body)
 			}
-			gone := inServiceEntry(s1, "s1")
-			gone.State = "terminated"
+			terminated := inServiceEntry(s1, "s1")
+			terminated.State = "terminated"
 			d.change(inServiceEntry(s2, "s2"))
-			d.change(gone)
+			d.change(terminated)
 			d.update(func() { d.isDown = false })
 			d.awaitSynced(t)
 			if code, _, body := doRequest(t, newClientRequest(t, addr, "read", "2.5")); code != http.StatusOK || body != "2" {
@@ -438,8 +446,8 @@
 	}
 }
 
-// Guards the service against lists that can't be taken: the list that the node has holds until
-// there is a good one.
+// Guards against malformed lists that end the service: the node serves from the list that it has until
+// it gets a valid one.
 func TestNodeServesFromItsListWhileListsAreMalformed(t *testing.T) {
 	for name, onRequest := range map[string]bool{"pushed": false, "asked": true} {
 		t.Run(name, func(t *testing.T) {
@@ -451,18 +459,18 @@
 			d.update(func() {
 				d.malformedList = `{"rev":5,"all":true,"targets":[{"uid":"s2","endpoint":"` + s2.addr + `","state":"in_service"},`
 			})
-			waitFor(t, "further call after a list that was spoilt", func() bool {
+			waitFor(t, "further call after a malformed list", func() bool {
 				d.mu.Lock()
 				defer d.mu.Unlock()
 				return d.failedCalls >= 2
 			})
 			if code, _, body := doRequest(t, newClientRequest(t, addr, "read", "2.5")); code != http.StatusOK || body != "1" {
-				t.Errorf("answered %d %q while lists are spoilt, want the old list to hold", code, body)
+				t.Errorf("answered %d %q while lists are malformed, want 200 from the server of the old list", code, body)
 			}
-			gone := inServiceEntry(s1, "s1")
-			gone.State = "terminated"
+			terminated := inServiceEntry(s1, "s1")
+			terminated.State = "terminated"
 			d.change(inServiceEntry(s2, "s2"))
-			d.change(gone)
+			d.change(terminated)
 			d.update(func() { d.malformedList = "" })
 			d.awaitSynced(t)
 			if code, _, body := doRequest(t, newClientRequest(t, addr, "read", "2.5")); code != http.StatusOK || body != "2" {
@@ -472,8 +480,9 @@
 	}
 }
 
-// Guards rule 3 against a watch that has fallen silent: what it misses counts as told 6 s
-// after that at the latest, so by then the node has closed it and asked anew.
+// Guards against requests to a draining server because a watch is silent. Discovery counts a change as
+// known to the node 6 s after the watch fell silent at the latest, so by then the node must have closed
+// the watch and opened another.
 func TestSilentWatchIsReopened(t *testing.T) {
 	for name, onRequest := range map[string]bool{"pushed": false, "asked": true} {
 		t.Run(name, func(t *testing.T) {
@@ -484,7 +493,7 @@
 			addr, _ := startNode(t, d)
 			d.awaitSynced(t)
 			silent := make(chan time.Time, 1)
-			d.update(func() { d.silentWatches = silent }) // ends the watch that is open
+			d.update(func() { d.silentWatches = silent }) // This ends the open watch.
 			silentSince := <-silent
 			d.update(func() { d.silentWatches = nil })
 			draining := inServiceEntry(s1, "s1")
@@ -492,54 +501,57 @@
 			d.change(draining)
 			d.awaitSynced(t)
 			if took := time.Since(silentSince); took > 6*time.Second {
-				t.Errorf("the node watches again after %v", took)
+				t.Errorf("the node watches again after %v, want 6 s at most", took)
 			}
 			for range 5 {
 				if code, _, body := doRequest(t, newClientRequest(t, addr, "read", "2.5")); code != http.StatusOK || body != "2" {
-					t.Errorf("answered %d %q, want 200 from the server that stays", code, body)
+					t.Errorf("answered %d %q, want 200 from the server in service", code, body)
 				}
 			}
 		})
 	}
 }
 
-// An agent that is down from the start may have told of changes: the known list does not serve before its answer.
+// Guards against serving from an outdated list: while discovery is down from the start, the node may have
+// missed changes, so it does not serve from the list that it knew before discovery answers.
 func TestKnownListServesOnceDiscoveryIsBack(t *testing.T) {
 	s := newFakeServer(t, respondWith(okResponse("1"), true))
 	d := newFakeDiscovery(t, inServiceEntry(s, "s1"))
 	d.isDown = true
 	addr, _ := startNode(t, d, inServiceEntry(s, "s1"))
 	if code, _, body := doRequest(t, newClientRequest(t, addr, "read", "2.5")); code != http.StatusServiceUnavailable {
-		t.Errorf("answered %d %q while the agent is down, want 503", code, body)
+		t.Errorf("answered %d %q while discovery is down, want 503", code, body)
 	}
 	d.update(func() { d.isDown = false })
 	d.awaitSynced(t)
 	if code, _, body := doRequest(t, newClientRequest(t, addr, "read", "2.5")); code != http.StatusOK || body != "1" {
-		t.Errorf("answered %d %q once the agent is back, want 200", code, body)
+		t.Errorf("answered %d %q once discovery is back, want 200", code, body)
 	}
 }
 
-// Where discovery is one service for all nodes, a node that knows a list asks for what has
-// changed since: whole lists for all nodes of a fleet at once take discovery seconds.
+// Guards against calls for the whole list by a node that has one. Where discovery is one service for all
+// nodes, such a node asks for the changes since its version, because sending whole lists to all nodes of
+// a fleet at once takes discovery seconds.
 func TestOnRequestNodeWatchesFromTheKnownVersion(t *testing.T) {
 	s1, s2 := newFakeServer(t, respondWith(okResponse("1"), true)), newFakeServer(t, respondWith(okResponse("2"), true))
 	d := newFakeDiscovery(t, inServiceEntry(s1, "s1"))
 	d.onRequest = true
-	gone := inServiceEntry(s1, "s1")
-	gone.State = "terminated"
+	terminated := inServiceEntry(s1, "s1")
+	terminated.State = "terminated"
 	d.change(inServiceEntry(s2, "s2"))
-	d.change(gone)
+	d.change(terminated)
 	addr, _ := startNode(t, d, inServiceEntry(s1, "s1"))
 	d.awaitSynced(t)
 	if code, _, body := doRequest(t, newClientRequest(t, addr, "read", "2.5")); code != http.StatusOK || body != "2" {
-		t.Errorf("answered %d %q, want 200 from the server that is left", code, body)
+		t.Errorf("answered %d %q, want 200 from the server in service", code, body)
 	}
 	if d.update(func() {}); d.wholeListCalls > 0 {
 		t.Errorf("%d calls for the whole list though one was known", d.wholeListCalls)
 	}
 }
 
-// A failed first attempt is retried elsewhere only where the class allows it.
+// Guards against retries of requests that must not run twice: a failed first attempt is retried at
+// another server only if the class allows it.
 func TestResetIsRetriedOnlyWhereAllowed(t *testing.T) {
 	for class, want := range map[string]struct {
 		code     int
@@ -563,9 +575,9 @@
 	}
 }
 
-// Guards rule 1 at the end, and service until then: a client that goes on using its
-// connection is answered each time, until an answer closes it; what was taken before
-// is answered too, and Run returns nil.
+// Guards against unanswered requests during a drain: a client that goes on using its connection is
+// answered each time until an answer closes it, a request received before the drain is answered too, and
+// the node ends without an error.
 func TestDrainServesOpenConnections(t *testing.T) {
 	arrived, release := make(chan struct{}), make(chan struct{})
 	s := newFakeServer(t, func(_ int64, r *http.Request, c net.Conn) bool {
@@ -615,22 +627,22 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	if code := <-earlierCode; code != http.StatusOK {
-		t.Errorf("answered %d, want 200 for what was taken before", code)
+		t.Errorf("answered %d, want 200 for the request received before the drain", code)
 	}
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
 	if c, err := net.Dial("tcp", addr); err == nil {
 		c.Close()
-		t.Error("the node still accepts")
+		t.Error("the node still accepts connections")
 	}
 }
 
-// Guards rule 1 against the kill at the end of a drain: what comes late has its
-// answer before, however long its client would wait.
+// Guards against requests without an answer when the node is killed at the end of a drain: a late request
+// is answered before, however long its client would wait.
 func TestDrainShortensDeadlines(t *testing.T) {
 	s := newFakeServer(t, func(_ int64, _ *http.Request, c net.Conn) bool {
-		c.Read(make([]byte, 1)) // silent until the node gives up
+		c.Read(make([]byte, 1)) // sends nothing until the node closes the connection
 		return false
 	})
 	l, err := newLoop(parseTestSite(t, testSettings).Policy, 1, newClock(), newTestUpstream(t, 8), newCallQueue())
@@ -648,16 +660,16 @@
 	select {
 	case a := <-done:
 		if a.kind == answerServed {
-			t.Error("served, though the server is silent")
+			t.Error("served, although the server does not respond")
 		}
 	case <-time.After(testTimeout):
 		t.Error("no answer")
 	}
 }
 
-// Guards rule 1 against the kill where deadlines are longer than the time that a node
-// which was told to end has: what it had taken before, with a minute left, is answered
-// first, and so is what comes after.
+// Guards against requests without an answer when a draining node is killed before their deadlines: a
+// request with a minute left that the node received before the drain is answered before the kill, and so
+// is one that arrives during the drain.
 func TestDrainAnswersBeforeTheKill(t *testing.T) {
 	for deadline, want := range map[time.Duration]time.Duration{
 		450 * time.Millisecond: 1150 * time.Millisecond, 3 * time.Second: 3700 * time.Millisecond, time.Minute: 3700 * time.Millisecond,
@@ -672,7 +684,7 @@
 	arrived := make(chan struct{}, 2)
 	s := newFakeServer(t, func(_ int64, _ *http.Request, c net.Conn) bool {
 		arrived <- struct{}{}
-		c.Read(make([]byte, 1)) // silent until the node gives up
+		c.Read(make([]byte, 1)) // sends nothing until the node closes the connection
 		return false
 	})
 	site := parseTestSite(t, strings.ReplaceAll(testSettings, `"DeadlineMs": 3000`, `"DeadlineMs": 60000`))
@@ -704,7 +716,7 @@
 		select {
 		case code := <-codes:
 			if code < 500 {
-				t.Errorf("answered %d, though the server is silent", code)
+				t.Errorf("answered %d, although the server does not respond", code)
 			}
 		case <-time.After(testTimeout):
 			t.Fatal("no answer before the kill")
@@ -712,8 +724,9 @@
 	}
 }
 
-// lateConnect has a loop send a request to a machine whose connections don't come up, and
-// gives the machine, the request as the loop holds it, and its answer to come.
+// submitWithLateConnection has a loop send a request to a server whose connections don't come up. It
+// returns the loop, the request, a function that starts the server so that its connections come up, and
+// the channel of the answer.
 func submitWithLateConnection(t *testing.T, class int, change func(*policy.Settings)) (l *loop, r *request, startServer func(string) *fakeServer, done chan finalAnswer) {
 	t.Helper()
 	addr, startServer := listenWithFullBacklog(t)
@@ -735,8 +748,9 @@
 	return l, <-sent, startServer, done
 }
 
-// Guards rule 3 where a list is learned between the pick and the first byte: the connection
-// that was late comes up when its server drains, and the request goes elsewhere.
+// Guards against attempts at a draining server if the node learns of the drain between picking the server
+// and the first byte: the late connection comes up when the server is already draining, and the request
+// must go to another one.
 func TestLateConnectionToAServerThatDrains(t *testing.T) {
 	l, _, startServer, done := submitWithLateConnection(t, 2, func(settings *policy.Settings) { settings.Limits.AllowCancel = false })
 	other := newFakeServer(t, respondWith(okResponse("2"), true))
@@ -744,7 +758,7 @@
 		l.applyNewerUpdate(policy.ListChanges, []policy.Entry{{Server: 1, State: policy.StateDraining}, {Server: 2, State: policy.StateInService}},
 			[]string{"", other.addr})
 	})
-	drainingServer := startServer(okResponse("1")) // now its connections come up
+	drainingServer := startServer(okResponse("1")) // Now its connections come up.
 	select {
 	case a := <-done:
 		if a.kind != answerServed || string(a.result.body) != "2" {
@@ -754,12 +768,12 @@
 		t.Fatal("no answer")
 	}
 	if n := drainingServer.requests.Load(); n != 0 {
-		t.Errorf("%d requests to the server that drains", n)
+		t.Errorf("%d requests to the draining server, want 0", n)
 	}
 }
 
-// Guards against sending on a request whose client left while its connection came up, also
-// where the settings allow no cancels.
+// Guards against forwarding a request whose client has disconnected while the connection to the server
+// came up, also if the settings do not allow cancelling attempts.
 func TestClientDisconnectsDuringALateConnect(t *testing.T) {
 	for _, allowed := range []bool{false, true} {
 		l, r, _, _ := submitWithLateConnection(t, 0, func(settings *policy.Settings) { settings.Limits.AllowCancel = allowed })
@@ -772,18 +786,18 @@
 	}
 }
 
-// Guards the window of a keyed request where its repeat is decided on within it and can be
-// written only after it: the connection comes up late, the write stalls half-way, or it is
-// the first attempt that is late while a second copy has run. Seen on zone+brink: decided
-// 135 ms after the first attempt, written after 299 ms, the window being 200 ms.
+// Guards against running a request with an idempotency key twice: the Balancer decides on a retry within
+// the dedup window, and the retry can be written only after the window. The connection comes up late, the
+// write stalls half-way, or the first attempt is late while its hedge has run. For example, with a window
+// of 200 ms, a retry that was decided on 135 ms after the first attempt was written after 299 ms.
 func TestNothingIsWrittenAfterTheDedupWindow(t *testing.T) {
 	resets := func(int64, *http.Request, net.Conn) bool { return false }
 	hangs := func(_ int64, _ *http.Request, c net.Conn) bool { c.Read(make([]byte, 1)); return false }
 	for name, testCase := range map[string]struct {
-		first     func(t *testing.T) (addr string, up func() *fakeServer) // the two servers, in the
-		second    func(t *testing.T) (addr string, up func() *fakeServer) // order of the attempts
-		lateIndex int                                                     // the attempt that is late,
-		phase     int32                                                   // and where it stands at the window's end
+		first     func(t *testing.T) (addr string, up func() *fakeServer) // The server of the first attempt.
+		second    func(t *testing.T) (addr string, up func() *fakeServer) // The server of the second attempt.
+		lateIndex int                                                     // The index of the late attempt.
+		phase     int32                                                   // The phase of the late attempt at the end of the window.
 	}{
 		"a late connection":    {acceptingServer(resets), lateAcceptingServer, 1, phaseUnsent},
 		"a stalled write":      {acceptingServer(resets), nonReadingServer, 1, phaseWriting},
@@ -795,7 +809,7 @@
 			settings.Classes = settings.Classes[1:2]
 			class := &settings.Classes[0]
 			class.Deadline, class.DedupWindow = time.Hour, time.Minute
-			class.LatencyTarget, class.TargetWorkFactor = 80*time.Millisecond, 3600 // repeats soon, and is of use for long
+			class.LatencyTarget, class.TargetWorkFactor = 80*time.Millisecond, 3600 // The request is retried soon, and an answer has value for long.
 			l, err := newLoop(settings, 1, newClock(), newUpstream(time.Hour, testTimeout, 8), newCallQueue())
 			if err != nil {
 				t.Fatal(err)
@@ -805,72 +819,73 @@
 			secondAddr, startSecond := testCase.second(t)
 			done, sent := make(chan finalAnswer, 1), make(chan *request)
 			l.post(func() {
-				for range 10 { // each is refused and saves up a tenth of a second copy
+				for range 10 { // Each request is refused and earns a tenth of a hedge.
 					l.balancer.RequestArrived(l.now, policy.Request{ID: 1 << 31})
 				}
 				l.applyNewerUpdate(policy.ListWhole, []policy.Entry{{Server: 1, State: policy.StateInService}}, []string{firstAddr})
 				outgoing := pushRequest()
-				outgoing.body, outgoing.clientDeadline = make([]byte, 16<<20), l.now+time.Hour // more than buffers hold
+				outgoing.body, outgoing.clientDeadline = make([]byte, 16<<20), l.now+time.Hour // The body is larger than all buffers.
 				sent <- l.submit(policy.Request{WorkHint: time.Second}, outgoing, done)
 				l.applyNewerUpdate(policy.ListChanges, []policy.Entry{{Server: 2, State: policy.StateInService}}, []string{secondAddr})
 			})
 			r := <-sent
-			checkInLoop := func(condition func() bool) bool { // in the loop, which owns the request
+			checkInLoop := func(condition func() bool) bool { // runs in the loop, which owns the request
 				checked := make(chan bool)
 				l.post(func() { checked <- condition() })
 				return <-checked
 			}
-			waitFor(t, "attempt that is late beside one that may have run", func() bool {
+			waitFor(t, "late attempt beside one that may have run", func() bool {
 				return checkInLoop(func() bool {
 					return len(r.attempts) == 2 && r.attempts[testCase.lateIndex].phase.Load() == testCase.phase &&
 						r.attempts[1-testCase.lateIndex].phase.Load() == phaseWritten
 				})
 			})
-			l.post(func() { l.clock.start = l.clock.start.Add(-class.DedupWindow) })          // the window is over
-			checkInLoop(func() bool { return true })                                          // and its timer has fired
-			lateServer := []func() *fakeServer{startFirst, startSecond}[testCase.lateIndex]() // what was late may come
+			l.post(func() { l.clock.start = l.clock.start.Add(-class.DedupWindow) })          // The window is over,
+			checkInLoop(func() bool { return true })                                          // its timer has fired,
+			lateServer := []func() *fakeServer{startFirst, startSecond}[testCase.lateIndex]() // and the late connection or write can go on.
 			waitFor(t, "end of the attempt", func() bool { return checkInLoop(func() bool { return r.attempts[testCase.lateIndex].outcomeReported }) })
 			if n := lateServer.requests.Load(); n != 0 {
-				t.Errorf("%d requests past the window", n)
+				t.Errorf("%d requests after the window, want 0", n)
 			}
 			if testCase.lateIndex == 1 {
 				if a := <-done; a.kind == answerServed {
-					t.Error("served by a repeat past the window")
+					t.Error("served by a retry after the window")
 				}
 			}
 		})
 	}
 }
 
-// Guards the instant between the window's end and its timer.
+// Guards against a write between the write deadline and the timer for it.
 func TestNoAttemptBeginsAtItsWriteDeadline(t *testing.T) {
 	c := newClock()
 	a := attempt{clock: c, gate: newSendGate(), request: &request{}}
 	a.request.writeDeadline.Store(int64(c.now()))
 	if a.beginWrite() {
-		t.Error("begins when its time is over")
+		t.Error("the write begins at its deadline")
 	}
 	a.request.writeDeadline.Store(int64(c.now() + time.Hour))
 	if !a.beginWrite() {
-		t.Error("does not begin within its time")
+		t.Error("the write does not begin before its deadline")
 	}
 }
 
-// standing is a server that is up from the start.
-func acceptingServer(handle func(int64, *http.Request, net.Conn) bool) func(*testing.T) (string, func() *fakeServer) {
+// acceptingServer starts a server that accepts connections from the start.
+func acceptingServer(respond func(int64, *http.Request, net.Conn) bool) func(*testing.T) (string, func() *fakeServer) {
 	return func(t *testing.T) (string, func() *fakeServer) {
-		s := newFakeServer(t, handle)
+		s := newFakeServer(t, respond)
 		return s.addr, func() *fakeServer { return s }
 	}
 }
 
-// lateMachine is one whose connections come up once it is told to.
+// lateAcceptingServer starts a server whose connections come up only after a call of the function.
 func lateAcceptingServer(t *testing.T) (string, func() *fakeServer) {
 	addr, startServer := listenWithFullBacklog(t)
 	return addr, func() *fakeServer { return startServer(okResponse("x")) }
 }
 
-// deafMachine is one that takes connections and reads nothing until it is told to.
+// nonReadingServer starts a server whose connections come up, and which reads nothing before a call of the
+// function.
 func nonReadingServer(t *testing.T) (string, func() *fakeServer) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -880,8 +895,8 @@
 	return l.Addr().String(), func() *fakeServer { return serveFakeOn(t, l, respondWith(okResponse("x"), true)) }
 }
 
-// dialClient opens a connection of its own; ask sends a request on it and gives
-// the answer's status.
+// dialClient opens a new connection. The function ask sends a request on it and returns the status code
+// of the answer.
 func dialClient(t *testing.T, addr string) (c net.Conn, ask func() (int, error)) {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -904,17 +919,17 @@
 	}
 }
 
-const testMaxClientConns = 24 // of a node with leastSockets
+// excessClientConns is more client connections than a node with minSockets accepts at once.
+const excessClientConns = 24
 
-// Guards rule 1 at the limit on descriptors: a connection that is left in the
-// kernel's queue has its request taken and never answered. Seen on an overload
-// day with 256 descriptors: 12,640 requests lost.
+// Guards against unanswered requests at the limit of file descriptors: if a connection stays in the
+// kernel's queue, its request counts as received and is never answered.
 func TestClientBeyondTheConnectionLimitIsRefusedAtOnce(t *testing.T) {
 	hold := make(chan struct{})
 	defer close(hold)
 	s := newFakeServer(t, func(int64, *http.Request, net.Conn) bool { <-hold; return false })
 	addr, _ := startNode(t, newFakeDiscovery(t, inServiceEntry(s, "s1")))
-	for range testMaxClientConns {
+	for range excessClientConns {
 		c, _ := dialClient(t, addr)
 		if err := newClientRequest(t, addr, "read", "2.9").Write(c); err != nil {
 			t.Fatal(err)
@@ -927,13 +942,13 @@
 	})
 }
 
-// Guards against closing connections that are about to be used: while few
-// descriptors are left, they end behind an answer, where no request can cross.
+// Guards against closing connections that are about to be used: if few file descriptors are left, a
+// connection closes after an answer that says so, when no request is in transit.
 func TestConnectionsNearTheLimitCloseAfterTheirAnswer(t *testing.T) {
 	s := newFakeServer(t, respondWith(okResponse("x"), true))
 	addr, _ := startNode(t, newFakeDiscovery(t, inServiceEntry(s, "s1")))
 	var first func() (int, error)
-	for i := range testMaxClientConns + 8 {
+	for i := range excessClientConns + 8 {
 		_, ask := dialClient(t, addr)
 		if code, err := ask(); code != http.StatusOK {
 			t.Fatalf("answered %d, %v; want 200", code, err)
@@ -943,19 +958,19 @@
 		}
 	}
 	if code, err := first(); code != http.StatusOK {
-		t.Errorf("the first connection answers %d, %v; want it open", code, err)
+		t.Errorf("answered %d, %v on the first connection; want 200", code, err)
 	}
 }
 
-// Guards rule 4: a server that started shortly before the node did is cold too,
-// so its start must not fall to 0 or below, which means long ago.
+// Guards against overload of a cold server that started shortly before the node did: its start time must
+// not be 0 or below, which means long past.
 func TestServerStartBeforeTheProcessStaysPositive(t *testing.T) {
 	c := newClock()
 	if at := c.fromUnixMs(c.start.Add(-5 * time.Second).UnixMilli()); at <= 0 || at >= c.now() {
-		t.Errorf("a start 5 s before the process is %v at %v", at, c.now())
+		t.Errorf("a start 5 s before the process is at %v, now is %v", at, c.now())
 	}
 	if at := c.fromUnixMs(0); at != 0 {
-		t.Errorf("long ago is %v, want 0", at)
+		t.Errorf("an unknown start is %v, want 0", at)
 	}
 	if at := c.fromUnixMs(1); at != 0 {
 		t.Errorf("a start in 1970 is %v, want 0", at)
@@ -964,25 +979,25 @@
 
 func TestPathKey(t *testing.T) {
 	if pathKey("") != 0 || pathKey("a/") != 0 {
-		t.Error("no last part, yet a key")
+		t.Error("a path with an empty last segment has a key")
 	}
 	if key1, key2 := pathKey("x/7"), pathKey("7"); key1 != key2 || key1 == 0 || key1 == pathKey("8") {
-		t.Error("keys must follow from the last part")
+		t.Error("the key of a path must depend on its last segment alone")
 	}
 }
 
 func TestServerInUnknownStateGetsNoNewRequests(t *testing.T) {
-	for word, want := range map[string]policy.ServerState{
+	for name, want := range map[string]policy.ServerState{
 		"in_service": policy.StateInService, "terminating": policy.StateDraining, "terminated": policy.StateGone, "resting": policy.StateDraining,
 	} {
-		if got := parseState(word); got != want {
-			t.Errorf("%s: state %d, want %d", word, got, want)
+		if got := parseState(name); got != want {
+			t.Errorf("%s: state %d, want %d", name, got, want)
 		}
 	}
 }
 
-// Guards against clients that go on using a draining node's connections until
-// they are cut: answers close them from SIGTERM on.
+// Guards against clients that use a draining node's connections until the node cuts them off: once the
+// front drains, each answer closes its connection.
 func TestDrainingFrontClosesConnectionsAfterAnswers(t *testing.T) {
 	front := newFront(&loop{clock: newClock()}, wire.NodeSettings{}, newClientConns(8), 0, func() bool { return true })
 	for _, draining := range []bool{false, true} {
--- a/internal/node/response_faults_test.go
+++ b/internal/node/response_faults_test.go
@@ -11,9 +11,8 @@
 	"otterstep/policy"
 )
 
-// Guards rule 1 against a second copy that a server sends a moment behind its
-// answer: on a connection used again at once it would be read as the answer to the
-// next request.
+// Guards against a second response that a server sends shortly after the first: on a connection that is
+// reused at once, it would be read as the response to the next request.
 func TestLateBytesAreNotTheNextResponse(t *testing.T) {
 	sent := make(chan struct{}, 8)
 	s := newFakeServer(t, func(n int64, r *http.Request, c net.Conn) bool {
@@ -29,7 +28,7 @@
 		if want := outgoing.header.Get("X-Correlation-Id"); string(result.body) != want {
 			t.Errorf("status %d, body %q; want %q", result.status, result.body, want)
 		}
-		if i == 1 { // from here on the bytes are there before the next request
+		if i == 1 { // From here on the late bytes have arrived before the next request.
 			<-sent
 			<-sent
 			u.ageIdleConns()
@@ -37,8 +36,8 @@
 	}
 }
 
-// An interim answer may come long before the one that counts: only an answer that
-// has begun must not stop.
+// Guards against a stall timeout that starts with an interim response: the final response may come long
+// after it, and the timeout applies only to a response that has begun.
 func TestInterimResponseDoesNotStartTheStallTimeout(t *testing.T) {
 	s := newFakeServer(t, func(_ int64, _ *http.Request, c net.Conn) bool {
 		io.WriteString(c, "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n")
@@ -47,12 +46,12 @@
 		return true
 	})
 	if result := newTestUpstream(t, 8).roundTrip(t.Context(), incarnationAt(s.addr), getRequest(), testTimeout, allowWrite); result.status != policy.OK {
-		t.Errorf("status %d, want served", result.status)
+		t.Errorf("status %d, want OK", result.status)
 	}
 }
 
-// Guards the client's time: an answer whose declared length can't be right fails at
-// once and is not read, let alone kept, though its server goes on sending.
+// Guards against responses that take up the client's time: one whose declared length is over the limit
+// fails at once and is not read, although its server goes on sending.
 func TestResponseOverTheLimitFailsUnread(t *testing.T) {
 	closed := make(chan int, 1)
 	s := newFakeServer(t, func(_ int64, _ *http.Request, c net.Conn) bool {
@@ -67,7 +66,7 @@
 		return false
 	})
 	if result := newTestUpstream(t, 8).roundTrip(t.Context(), incarnationAt(s.addr), getRequest(), testTimeout, allowWrite); result.status != policy.ConnectionReset {
-		t.Errorf("status %d, want a reset", result.status)
+		t.Errorf("status %d, want ConnectionReset", result.status)
 	}
 	select {
 	case <-closed:
@@ -76,8 +75,8 @@
 	}
 }
 
-// A server's 4xx is about the request: it is not tried again elsewhere, and the
-// server stays as good as it was.
+// Guards against retries of invalid requests: a 4xx response is about the request, so the request is not
+// retried at another server, and the response does not count against its server.
 func TestRequestWithAClientErrorResponseIsNotRetried(t *testing.T) {
 	s := newFakeServer(t, func(_ int64, r *http.Request, c net.Conn) bool {
 		if r.Method == http.MethodGet {
@@ -90,22 +89,22 @@
 	other := newFakeServer(t, respondWith("HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n", true))
 	addr, _ := startNode(t, newFakeDiscovery(t, inServiceEntry(s, "s1")))
 	twoServerAddr, _ := startNode(t, newFakeDiscovery(t, inServiceEntry(other, "s1"), inServiceEntry(other, "s2")))
-	for range 8 { // more than open a breaker
+	for range 8 { // more failures than open a breaker
 		if code, _, _ := doRequest(t, newClientRequest(t, addr, "read", "2.5")); code != http.StatusBadGateway {
 			t.Errorf("answered %d, want 502", code)
 		}
 	}
 	if code, _, _ := doRequest(t, newClientRequest(t, addr, "push", "2.5")); code != http.StatusOK {
-		t.Errorf("answered %d after rejected requests, want 200", code)
+		t.Errorf("answered %d after requests with a 4xx response, want 200", code)
 	}
 	if doRequest(t, newClientRequest(t, twoServerAddr, "read", "2.5")); other.requests.Load() != 1 {
-		t.Errorf("%d attempts of a rejected request, want 1", other.requests.Load())
+		t.Errorf("%d attempts of a request with a 4xx response, want 1", other.requests.Load())
 	}
 }
 
-// Guards against connections that outlive their server: a new one may stand at the
-// address of one that is gone, or the same may have started anew. A late word on
-// the old one must not cost the new one its connections.
+// Guards against connections that outlive their server: a new server may have the address of one that
+// is gone, or the same server may have restarted. A late message about the old server must not close the
+// connections of the new one.
 func TestReplacedServerGetsItsOwnConnections(t *testing.T) {
 	s := newFakeServer(t, respondWith(okResponse("x"), true))
 	d := newFakeDiscovery(t, inServiceEntry(s, "s1"))
@@ -116,34 +115,34 @@
 			if code, _, _ := doRequest(t, newClientRequest(t, addr, "read", "2.5")); code != http.StatusOK {
 				t.Errorf("%s: answered %d, want 200", when, code)
 			}
-			time.Sleep(2 * minIdleBeforeReuse) // so that the next one may use the same connection
+			time.Sleep(2 * minIdleBeforeReuse) // so that the next request may use the same connection
 		}
 		if n := s.conns.Load(); n != want {
 			t.Errorf("%s: %d connections so far, want %d", when, n, want)
 		}
 	}
 	checkConns(1, "at first")
-	d.change(inServiceEntry(s, "s2")) // stands at the address before the old one is reported gone
-	gone := inServiceEntry(s, "s1")
-	gone.State = "terminated"
+	d.change(inServiceEntry(s, "s2")) // The new server is at the address before the old one is reported gone.
+	terminated := inServiceEntry(s, "s1")
+	terminated.State = "terminated"
 	d.awaitSynced(t)
-	d.change(gone)
+	d.change(terminated)
 	d.awaitSynced(t)
 	checkConns(2, "replaced")
-	d.change(gone)
+	d.change(terminated)
 	d.awaitSynced(t)
-	checkConns(2, "late word on the old one")
+	checkConns(2, "late message about the old server")
 	restarted := inServiceEntry(s, "s2")
-	restarted.BootMs = 1000 // long ago for the module, and yet another process
+	restarted.BootMs = 1000 // The Balancer takes it as long past, and yet it is another process.
 	d.change(restarted)
 	d.awaitSynced(t)
 	restarted.BootMs = time.Now().Add(-time.Minute).UnixMilli()
 	d.change(restarted)
 	d.awaitSynced(t)
-	checkConns(3, "started anew")
+	checkConns(3, "restarted")
 }
 
-// Guards against what grows with servers, ids and connections that come and go.
+// Guards against state that grows with the servers, ids and connections that come and go.
 func TestNoStateOutlivesItsServerOrRequest(t *testing.T) {
 	s := newFakeServer(t, respondWith(okResponse("x"), true))
 	u := newTestUpstream(t, 8)
@@ -170,10 +169,10 @@
 			l.submit(policy.Request{Key: uint64(i + 1)}, outgoing, done)
 		})
 		if a := <-done; a.kind != answerServed {
-			t.Fatalf("request %d ended as %d", i, a.kind)
+			t.Fatalf("request %d ended as kind %d, want served", i, a.kind)
 		}
 	}
-	waitFor(t, "end of all connections but the last server's", func() bool {
+	waitFor(t, "close of all connections but the last server's", func() bool {
 		u.mu.Lock()
 		defer u.mu.Unlock()
 		return len(u.idleConns) <= 1 && u.openConns <= 1
@@ -186,6 +185,6 @@
 	count := make(chan int, 1)
 	l.post(func() { count <- len(l.servers) })
 	if n := <-count; n != 1 {
-		t.Errorf("%d servers held, want 1", n)
+		t.Errorf("%d servers kept, want 1", n)
 	}
 }
--- a/internal/node/tenants_scale_test.go
+++ b/internal/node/tenants_scale_test.go
@@ -9,7 +9,7 @@
 	"otterstep/internal/wire"
 )
 
-// tenantSettings is settings with many tenants, each with a name, a quota and nothing else.
+// tenantSettings returns settings with many tenants, each with a name and a quota.
 func tenantSettings(tenants int) []byte {
 	text := bytes.NewBufferString(`{"Balancers": 5300, "Accounts": [`)
 	for i := range tenants {
@@ -22,8 +22,8 @@
 	return text.Bytes()
 }
 
-// BenchmarkScaleNodeTenants is a node's start with many tenants: reading its settings, its
-// policy and the front's table of names. It reports what these hold.
+// BenchmarkScaleNodeTenants measures the start of a node with many tenants: parsing the settings, and
+// building the Balancer and the front's index of names. It also reports the memory that these keep.
 func BenchmarkScaleNodeTenants(b *testing.B) {
 	for _, tenants := range []int{1000, 10_000, 40_000, 160_000} {
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -18,26 +18,29 @@
 	"otterstep/policy"
 )
 
-const testTimeout = 20 * time.Second // for events that are sure to come
+// testTimeout is the time limit for events that are expected to happen.
+const testTimeout = 20 * time.Second
 
-// server is a scripted server: handle gets each request that came whole, with
-// its number from 1 and the connection it came on.
+// fakeServer is a stand-in for a server that counts its complete requests and its connections.
 type fakeServer struct {
 	addr     string
 	requests atomic.Int64
 	conns    atomic.Int64
 }
 
-func newFakeServer(t *testing.T, handle func(n int64, r *http.Request, c net.Conn) bool) *fakeServer {
+// newFakeServer starts a server. It calls respond for each complete request, with the number of the
+// request from 1 and its connection. If respond returns false, the server closes the connection.
+func newFakeServer(t *testing.T, respond func(n int64, r *http.Request, c net.Conn) bool) *fakeServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return serveFakeOn(t, l, handle)
+	return serveFakeOn(t, l, respond)
 }
 
-func serveFakeOn(t *testing.T, l net.Listener, handle func(n int64, r *http.Request, c net.Conn) bool) *fakeServer {
+// serveFakeOn is newFakeServer on a given listener.
+func serveFakeOn(t *testing.T, l net.Listener, respond func(n int64, r *http.Request, c net.Conn) bool) *fakeServer {
 	t.Cleanup(func() { l.Close() })
 	s := &fakeServer{addr: l.Addr().String()}
 	go func() {
@@ -59,7 +62,7 @@
 					} else {
 						r.Body = io.NopCloser(strings.NewReader(string(body)))
 					}
-					if !handle(s.requests.Add(1), r, c) {
+					if !respond(s.requests.Add(1), r, c) {
 						return
 					}
 				}
@@ -69,8 +72,8 @@
 	return s
 }
 
-// says answers each request with the same bytes and keeps the connection, or
-// closes it behind them.
+// respondWith returns a function that responds to each request with the same bytes, and then keeps or
+// closes the connection.
 func respondWith(text string, keep bool) func(int64, *http.Request, net.Conn) bool {
 	return func(_ int64, _ *http.Request, c net.Conn) bool {
 		io.WriteString(c, text)
@@ -91,10 +94,10 @@
 		header: http.Header{"X-Correlation-Id": {"2"}, "Idempotency-Key": {"i"}}}
 }
 
-// at is a server that has always stood at an address.
+// incarnationAt returns the incarnation of a server with an unknown start at an address.
 func incarnationAt(addr string) serverIncarnation { return serverIncarnation{addr: addr} }
 
-// settle lets idle connections come of age, so that the next request may use one.
+// ageIdleConns makes idle connections old enough to be reused at once.
 func (u *upstream) ageIdleConns() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -105,13 +108,13 @@
 	}
 }
 
-// always is a permit that says the same each time.
+// fixedPermit is a writePermit that always gives the same answer.
 type fixedPermit bool
 
 func (p fixedPermit) beginWrite() bool { return bool(p) }
 func (fixedPermit) finishWrite()       {}
 
-// yes lets an attempt be written.
+// allowWrite permits each write.
 const allowWrite = fixedPermit(true)
 
 func newTestUpstream(t *testing.T, maxConns int) *upstream {
@@ -138,13 +141,13 @@
 		pooled int
 	}{
 		"served":                    {okResponse("hello"), true, policy.OK, 1},
-		"served behind interim":     {"HTTP/1.1 103 Early Hints\r\n\r\n" + okResponse("hello"), true, policy.OK, 1},
+		"served after interim":      {"HTTP/1.1 103 Early Hints\r\n\r\n" + okResponse("hello"), true, policy.OK, 1},
 		"served in chunks":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n", true, policy.OK, 1},
 		"served, then closed":       {"HTTP/1.1 200 OK\r\nContent-Length: 5\r\nConnection: close\r\n\r\nhello", false, policy.OK, 0},
-		"served with more behind":   {okResponse("hello") + extraResponse, true, policy.OK, 0},
+		"served, then more bytes":   {okResponse("hello") + extraResponse, true, policy.OK, 0},
 		"error":                     {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", true, policy.ServerError, 1},
-		"turned away":               {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", true, policy.Rejected, 1},
-		"turned away as over":       {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", true, policy.Rejected, 1},
+		"rejected":                  {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", true, policy.Rejected, 1},
+		"rejected as too late":      {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", true, policy.Rejected, 1},
 		"unmarked 503 may have run": {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", true, policy.ServerError, 1},
 		"marked 500 may have run":   {"HTTP/1.1 500 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", true, policy.ServerError, 1},
 		"closed after the request":  {"", false, policy.ConnectionReset, 0},
@@ -161,10 +164,10 @@
 		"both lengths":              {head("Content-Length: 5\r\nTransfer-Encoding: chunked"), true, policy.ConnectionReset, 0},
 		"two lengths":               {head("Content-Length: 5\r\nContent-Length: 4"), true, policy.ConnectionReset, 0},
 		"negative length":           {head("Content-Length: -5"), true, policy.ConnectionReset, 0},
-		"length no number":          {head("Content-Length: five"), true, policy.ConnectionReset, 0},
+		"length not a number":       {head("Content-Length: five"), true, policy.ConnectionReset, 0},
 		"line with no colon":        {head("no colon\r\nContent-Length: 5"), true, policy.ConnectionReset, 0},
-		"code no number":            {"HTTP/1.1 2x0 OK\r\nContent-Length: 5\r\n\r\nhello", true, policy.ConnectionReset, 0},
-		"code behind its text":      {"HTTP/1.1 OK 200\r\nContent-Length: 5\r\n\r\nhello", true, policy.ConnectionReset, 0},
+		"code not a number":         {"HTTP/1.1 2x0 OK\r\nContent-Length: 5\r\n\r\nhello", true, policy.ConnectionReset, 0},
+		"code after its text":       {"HTTP/1.1 OK 200\r\nContent-Length: 5\r\n\r\nhello", true, policy.ConnectionReset, 0},
 		"other protocol":            {"ICY 200 OK\r\nContent-Length: 5\r\n\r\nhello", true, policy.ConnectionReset, 0},
 		"interim without end":       {strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 20) + okResponse("hello"), true, policy.ConnectionReset, 0},
 		"switches protocols":        {"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n", true, policy.ConnectionReset, 0},
@@ -175,13 +178,13 @@
 			s, u := newFakeServer(t, respondWith(testCase.text, testCase.keep)), newTestUpstream(t, 8)
 			result := u.roundTrip(t.Context(), incarnationAt(s.addr), getRequest(), time.Second, allowWrite)
 			if result.status != testCase.status || len(u.idleConns[incarnationAt(s.addr)]) != testCase.pooled || u.openConns != testCase.pooled {
-				t.Errorf("status %d, %d kept, %d open; want %d, %d kept", result.status, len(u.idleConns[incarnationAt(s.addr)]), u.openConns, testCase.status, testCase.pooled)
+				t.Errorf("status %d, %d idle, %d open; want status %d, %d idle", result.status, len(u.idleConns[incarnationAt(s.addr)]), u.openConns, testCase.status, testCase.pooled)
 			}
 			if want := map[bool]string{true: "hello"}[testCase.status == policy.OK]; string(result.body) != want {
 				t.Errorf("body %q, want %q", result.body, want)
 			}
 			if n := s.requests.Load(); n != 1 {
-				t.Errorf("%d requests came, want 1", n)
+				t.Errorf("%d requests arrived, want 1", n)
 			}
 		})
 	}
@@ -199,8 +202,8 @@
 	}
 }
 
-// silentMachine listens, but connections to it never come up: its queue is full, until
-// answer makes it a server.
+// listenWithFullBacklog listens with a full backlog, so that connections don't come up until startServer
+// makes it a server that responds to each request with a text.
 func listenWithFullBacklog(t *testing.T) (addr string, startServer func(text string) *fakeServer) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -231,7 +234,7 @@
 			t.Fatal(err)
 		}
 		file := os.NewFile(uintptr(dup), addr)
-		defer file.Close() // the listener has a descriptor of its own
+		defer file.Close() // The listener has its own file descriptor.
 		l, err := net.FileListener(file)
 		if err != nil {
 			t.Fatal(err)
@@ -240,19 +243,20 @@
 	}
 }
 
-// A cut-off machine says nothing: the connection never comes up. A listener
-// whose queue is full acts the same.
+// Guards against a wrong status for a server that the network has cut off: connections to it never come
+// up. A listener with a full backlog behaves in the same way.
 func TestConnectTimeoutIsAConnectFailure(t *testing.T) {
 	addr, _ := listenWithFullBacklog(t)
 	u := newUpstream(time.Hour, 200*time.Millisecond, 8)
 	if result := u.roundTrip(t.Context(), incarnationAt(addr), pushRequest(), time.Second, allowWrite); result.status != policy.ConnectFailed {
-		t.Errorf("status %d, want could not connect", result.status)
+		t.Errorf("status %d, want ConnectFailed", result.status)
 	}
 }
 
-// The request's last byte could not be written: it has not run for sure.
+// Guards against a wrong status if the last byte of the request could not be written: the request has
+// certainly not run.
 func TestBreakBeforeTheLastByteIsAConnectFailure(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0") // never reads, so it closes nothing in return
+	l, err := net.Listen("tcp", "127.0.0.1:0") // It never reads, so it does not close in return.
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -262,7 +266,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.CloseWrite(); err != nil { // what is written from now on fails
+	if err := c.CloseWrite(); err != nil { // From now on, writes fail.
 		t.Fatal(err)
 	}
 	u.releaseConn(c, true)
@@ -272,8 +276,8 @@
 	}
 }
 
-// Guards against a hidden resend: net/http's Transport sends a GET and a request
-// with Idempotency-Key again by itself when a kept connection dies under it.
+// Guards against a hidden resend: net/http's Transport sends a GET, or a request with an
+// Idempotency-Key, again by itself if its pooled connection breaks.
 func TestNoHiddenResendOnAStaleConnection(t *testing.T) {
 	for name, outgoing := range map[string]*upstreamRequest{"GET": getRequest(), "keyed POST": pushRequest()} {
 		t.Run(name, func(t *testing.T) {
@@ -281,15 +285,15 @@
 				if n == 1 {
 					io.WriteString(c, okResponse("first"))
 				}
-				return n == 1 // the second finds the connection closing
+				return n == 1 // The second request finds the connection closing.
 			})
 			u := newTestUpstream(t, 8)
 			if result := u.roundTrip(t.Context(), incarnationAt(s.addr), outgoing, time.Second, allowWrite); result.status != policy.OK {
-				t.Fatalf("status %d, want served", result.status)
+				t.Fatalf("status %d, want OK", result.status)
 			}
 			u.ageIdleConns()
 			if result := u.roundTrip(t.Context(), incarnationAt(s.addr), outgoing, time.Second, allowWrite); result.status != policy.ConnectionReset {
-				t.Errorf("status %d, want reset", result.status)
+				t.Errorf("status %d, want ConnectionReset", result.status)
 			}
 			if n, c := s.requests.Load(), s.conns.Load(); n != 2 || c != 1 {
 				t.Errorf("%d requests on %d connections, want 2 on 1", n, c)
@@ -298,13 +302,13 @@
 	}
 }
 
-// Guards against sending on a connection that the server has closed meanwhile: a
-// close that was seen in time costs no attempt.
+// Guards against sending on a connection that the server has closed in the meantime: a close that the node
+// detects in time costs no attempt.
 func TestConnectionThatTheServerClosedIsNotUsed(t *testing.T) {
 	s, u := newFakeServer(t, respondWith(okResponse("x"), false)), newTestUpstream(t, 8)
 	for range 2 {
 		if result := u.roundTrip(t.Context(), incarnationAt(s.addr), pushRequest(), time.Second, allowWrite); result.status != policy.OK {
-			t.Fatalf("status %d, want served", result.status)
+			t.Fatalf("status %d, want OK", result.status)
 		}
 		waitFor(t, "close by the server", func() bool {
 			u.mu.Lock()
@@ -314,10 +318,10 @@
 		u.ageIdleConns()
 	}
 	if n := s.requests.Load(); n != 2 {
-		t.Errorf("%d requests came, want 2", n)
+		t.Errorf("%d requests arrived, want 2", n)
 	}
 	if u.closeStale(); u.openConns != 0 || len(u.idleConns) != 0 {
-		t.Errorf("%d connections open after a sweep, want 0", u.openConns)
+		t.Errorf("%d connections open after closeStale, want 0", u.openConns)
 	}
 }
 
@@ -336,23 +340,24 @@
 	}
 }
 
-// Guards against an attempt going out after the loop gave it up.
+// Guards against an attempt that is written after the loop has abandoned it.
 func TestNothingIsWrittenOnceAbandoned(t *testing.T) {
 	s, u := newFakeServer(t, respondWith(okResponse("x"), true)), newTestUpstream(t, 8)
 	if result := u.roundTrip(t.Context(), incarnationAt(s.addr), pushRequest(), time.Second, fixedPermit(false)); result.status != policy.NotSent {
-		t.Errorf("status %d, want never sent", result.status)
+		t.Errorf("status %d, want NotSent", result.status)
 	}
-	// The connection is as good as new; the next request is the first on it.
+	// The connection has not been used; the next request is the first on it.
 	u.ageIdleConns()
 	if result := u.roundTrip(t.Context(), incarnationAt(s.addr), pushRequest(), time.Second, allowWrite); result.status != policy.OK {
-		t.Errorf("status %d, want served", result.status)
+		t.Errorf("status %d, want OK", result.status)
 	}
 	if n, c := s.requests.Load(), s.conns.Load(); n != 1 || c != 1 {
 		t.Errorf("%d requests on %d connections, want 1 on 1", n, c)
 	}
 }
 
-// Guards the limit on descriptors: an idle connection makes room, a busy one doesn't.
+// Guards the limit of file descriptors: at the limit, an idle connection is closed for a new one, and a
+// busy one is not.
 func TestConnectionLimit(t *testing.T) {
 	hold := make(chan struct{})
 	busyServer := newFakeServer(t, func(_ int64, _ *http.Request, c net.Conn) bool {
@@ -363,26 +368,26 @@
 	idleServer := newFakeServer(t, respondWith(okResponse("x"), true))
 	u := newTestUpstream(t, 1)
 	if result := u.roundTrip(t.Context(), incarnationAt(idleServer.addr), getRequest(), time.Second, allowWrite); result.status != policy.OK {
-		t.Fatalf("status %d, want served", result.status)
+		t.Fatalf("status %d, want OK", result.status)
 	}
 	done := make(chan attemptResult, 1)
 	go func() {
 		done <- u.roundTrip(context.Background(), incarnationAt(busyServer.addr), getRequest(), time.Second, allowWrite)
 	}()
-	waitFor(t, "the request at the busy server", func() bool { return busyServer.requests.Load() == 1 })
+	waitFor(t, "request at the busy server", func() bool { return busyServer.requests.Load() == 1 })
 	if result := u.roundTrip(t.Context(), incarnationAt(idleServer.addr), getRequest(), time.Second, allowWrite); result.status != policy.NotSent {
-		t.Errorf("status %d beyond the cap, want never sent", result.status)
+		t.Errorf("status %d over the limit, want NotSent", result.status)
 	}
 	close(hold)
 	if result := <-done; result.status != policy.OK {
-		t.Errorf("status %d, want served in the evicted one's place", result.status)
+		t.Errorf("status %d, want OK on a connection in place of the idle one", result.status)
 	}
 	if u.openConns != 1 {
 		t.Errorf("%d open, want 1", u.openConns)
 	}
 }
 
-// waitFor waits for something that must come about, however slow the machine.
+// waitFor waits until a condition holds, and fails the test after testTimeout.
 func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
@@ -392,7 +397,7 @@
 	}
 }
 
-// lateConnection lets an attempt be written only after its connection took for so long.
+// slowPermit is a writePermit that permits each write after a delay, as if the connection came up late.
 type slowPermit struct {
 	delay   time.Duration
 	readyAt time.Time
@@ -406,7 +411,8 @@
 
 func (p *slowPermit) finishWrite() {}
 
-// Guards the time that a server is told: what has passed while the connection came up is not left.
+// Guards against telling a server too much time left: the time that passes until the connection comes up
+// is subtracted.
 func TestTimeLeftIsComputedWhenTheRequestIsWritten(t *testing.T) {
 	timeLeftHeader := make(chan string, 1)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -429,6 +435,6 @@
 		t.Fatal(err)
 	}
 	if timeLeft := wait - permit.readyAt.Sub(startedAt); seconds > timeLeft.Seconds()+0.001 {
-		t.Errorf("told %.3f s, %.3f s were left", seconds, timeLeft.Seconds())
+		t.Errorf("the server is told %.3f s, %.3f s are left", seconds, timeLeft.Seconds())
 	}
 }
