--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -275,8 +275,8 @@
 // startFront runs a front with one server. It calls state for each change of a connection's state.
 func startFront(t *testing.T, s *fakeServer, state func(*clientConns, net.Conn, http.ConnState)) (l *loop, addr string) {
 	t.Helper()
-	site := parseTestSite(t, testSettings)
-	l, err := newLoop(site.Policy, 1, newClock(), newUpstream(time.Hour, testTimeout, 8), newCallQueue())
+	settings := parseTestSite(t, testSettings)
+	l, err := newLoop(settings.Policy, 1, newClock(), newUpstream(time.Hour, testTimeout, 8), newCallQueue())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -290,7 +290,7 @@
 		t.Fatal(err)
 	}
 	server := http.Server{
-		Handler:     newFront(l, site, group, 1<<20, func() bool { return true }),
+		Handler:     newFront(l, settings, group, 1<<20, func() bool { return true }),
 		ReadTimeout: testTimeout, ConnContext: group.connContext,
 		ConnState: func(c net.Conn, s http.ConnState) { state(group, c, s) },
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -136,11 +136,11 @@
 // parseTestSite parses the settings of a node.
 func parseTestSite(t testing.TB, text string) wire.NodeSettings {
 	t.Helper()
-	site, err := wire.ParseNodeSettings([]byte(text))
+	settings, err := wire.ParseNodeSettings([]byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return site
+	return settings
 }
 
 // startNode starts a node that runs until the test ends, and waits until it is ready. The function stop
@@ -414,10 +414,10 @@
 	}
 }
 
-// Guards against a watch that does not resume after a failure of discovery, with both kinds of list
-// ("pushed" and "on_request"). The node serves from its old list until then.
+// Guards against a watch that does not resume after a failure of discovery, with a pushed list and with
+// one on request. The node serves from its old list until then.
 func TestWatchResumesAfterADiscoveryOutage(t *testing.T) {
-	for name, onRequest := range map[string]bool{"pushed": false, "asked": true} {
+	for name, onRequest := range map[string]bool{"pushed": false, "on request": true} {
 		t.Run(name, func(t *testing.T) {
 			s1, s2 := newFakeServer(t, respondWith(okResponse("1"), true)), newFakeServer(t, respondWith(okResponse("2"), true))
 			d := newFakeDiscovery(t, inServiceEntry(s1, "s1"))
@@ -449,7 +449,7 @@
 // Guards against malformed lists that end the service: the node serves from the list that it has until
 // it gets a valid one.
 func TestNodeServesFromItsListWhileListsAreMalformed(t *testing.T) {
-	for name, onRequest := range map[string]bool{"pushed": false, "asked": true} {
+	for name, onRequest := range map[string]bool{"pushed": false, "on request": true} {
 		t.Run(name, func(t *testing.T) {
 			s1, s2 := newFakeServer(t, respondWith(okResponse("1"), true)), newFakeServer(t, respondWith(okResponse("2"), true))
 			d := newFakeDiscovery(t, inServiceEntry(s1, "s1"))
@@ -484,7 +484,7 @@
 // known to the node 6 s after the watch fell silent at the latest, so by then the node must have closed
 // the watch and opened another.
 func TestSilentWatchIsReopened(t *testing.T) {
-	for name, onRequest := range map[string]bool{"pushed": false, "asked": true} {
+	for name, onRequest := range map[string]bool{"pushed": false, "on request": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s1, s2 := newFakeServer(t, respondWith(okResponse("1"), true)), newFakeServer(t, respondWith(okResponse("2"), true))
@@ -687,8 +687,8 @@
 		c.Read(make([]byte, 1)) // sends nothing until the node closes the connection
 		return false
 	})
-	site := parseTestSite(t, strings.ReplaceAll(testSettings, `"DeadlineMs": 3000`, `"DeadlineMs": 60000`))
-	l, err := newLoop(site.Policy, 1, newClock(), newTestUpstream(t, 8), newCallQueue())
+	settings := parseTestSite(t, strings.ReplaceAll(testSettings, `"DeadlineMs": 3000`, `"DeadlineMs": 60000`))
+	l, err := newLoop(settings.Policy, 1, newClock(), newTestUpstream(t, 8), newCallQueue())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -696,7 +696,7 @@
 	l.post(func() {
 		l.applyNewerUpdate(policy.ListWhole, []policy.Entry{{Server: 1, State: policy.StateInService}}, []string{s.addr})
 	})
-	front := httptest.NewServer(newFront(l, site, newClientConns(minSockets), 1<<20, func() bool { return true }))
+	front := httptest.NewServer(newFront(l, settings, newClientConns(minSockets), 1<<20, func() bool { return true }))
 	t.Cleanup(func() { front.CloseClientConnections(); front.Close() })
 	codes := make(chan int, 2)
 	ask := func() {
--- a/internal/node/tenants_scale_test.go
+++ b/internal/node/tenants_scale_test.go
@@ -29,15 +29,15 @@
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
 			text := tenantSettings(tenants)
 			start := func() *front {
-				site, err := wire.ParseNodeSettings(text)
+				settings, err := wire.ParseNodeSettings(text)
 				if err != nil {
 					b.Fatal(err)
 				}
-				l, err := newLoop(site.Policy, 1, newClock(), newUpstream(site.ConnIdleTimeout, site.ConnectTimeout, 0), newCallQueue())
+				l, err := newLoop(settings.Policy, 1, newClock(), newUpstream(settings.ConnIdleTimeout, settings.ConnectTimeout, 0), newCallQueue())
 				if err != nil {
 					b.Fatal(err)
 				}
-				return newFront(l, site, nil, 0, func() bool { return true })
+				return newFront(l, settings, nil, 0, func() bool { return true })
 			}
 			before := heapBytes()
 			f := start()
