--- a/internal/node/tenants_scale_test.go
+++ b/internal/node/tenants_scale_test.go
@@ -9,7 +9,7 @@
 	"otterstep/internal/wire"
 )
 
-// tenantSettings is settings with many tenants, each with a name, a quota and nothing else.
+// tenantSettings returns settings with many tenants, each with a name and a quota.
 func tenantSettings(tenants int) []byte {
 	text := bytes.NewBufferString(`{"Balancers": 5300, "Accounts": [`)
 	for i := range tenants {
@@ -22,22 +22,22 @@
 	return text.Bytes()
 }
 
-// BenchmarkScaleNodeTenants is a node's start with many tenants: reading its settings, its
-// policy and the front's table of names. It reports what these hold.
+// BenchmarkScaleNodeTenants measures the start of a node with many tenants: parsing the settings, and
+// building the Balancer and the front's index of names. It also reports the memory that these keep.
 func BenchmarkScaleNodeTenants(b *testing.B) {
 	for _, tenants := range []int{1000, 10_000, 40_000, 160_000} {
 		b.Run(fmt.Sprintf("tenants=%d", tenants), func(b *testing.B) {
 			text := tenantSettings(tenants)
 			start := func() *front {
-				site, err := wire.ParseNodeSettings(text)
+				settings, err := wire.ParseNodeSettings(text)
 				if err != nil {
 					b.Fatal(err)
 				}
-				l, err := newLoop(site.Policy, 1, newClock(), newUpstream(site.ConnIdleTimeout, site.ConnectTimeout, 0), newCallQueue())
+				l, err := newLoop(settings.Policy, 1, newClock(), newUpstream(settings.ConnIdleTimeout, settings.ConnectTimeout, 0), newCallQueue())
 				if err != nil {
 					b.Fatal(err)
 				}
-				return newFront(l, site, nil, 0, func() bool { return true })
+				return newFront(l, settings, nil, 0, func() bool { return true })
 			}
 			before := heapBytes()
 			f := start()
