--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -275,7 +275,7 @@
 // startFront runs a front with one server. It calls state for each change of a connection's state.
 func startFront(t *testing.T, s *fakeServer, state func(*clientConns, net.Conn, http.ConnState)) (l *loop, addr string) {
 	t.Helper()
-	settings := parseTestSite(t, testSettings)
+	settings := parseTestNodeSettings(t, testSettings)
 	l, err := newLoop(settings.Policy, 1, newClock(), newUpstream(time.Hour, testTimeout, 8), newCallQueue())
 	if err != nil {
 		t.Fatal(err)
@@ -463,7 +463,7 @@
 // before it reads them.
 func TestLargeBodiesShareAByteBudget(t *testing.T) {
 	f := newFront(&loop{clock: newClock()}, wire.NodeSettings{ClassNames: []string{"book"}}, newClientConns(8), 10<<10, func() bool { return true })
-	f.settings.Policy.Classes = parseTestSite(t, testSettings).Policy.Classes[2:]
+	f.settings.Policy.Classes = parseTestNodeSettings(t, testSettings).Policy.Classes[2:]
 	ask := func() (code int, read int64) {
 		body := &countingReader{}
 		r := newClientRequest(t, "api", "book", "2.5")
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -20,7 +20,7 @@
 	MemoryMB  int         // memory that the node may use, in MiB; 0: no limit
 	Sockets   int         // number of descriptors that the node may use
 	KnownList listMessage // list of servers that the node last had
-	Site      wire.NodeSettings
+	Settings  wire.NodeSettings
 }
 
 // LoadConfig reads and checks the configuration file.
@@ -62,10 +62,10 @@
 	if len(file.Settings) == 0 {
 		return invalid("settings", errors.New("missing"))
 	}
-	if config.Site, err = wire.ParseNodeSettings(file.Settings); err != nil {
+	if config.Settings, err = wire.ParseNodeSettings(file.Settings); err != nil {
 		return invalid("settings", err)
 	}
-	if err := config.Site.Policy.Validate(); err != nil {
+	if err := config.Settings.Policy.Validate(); err != nil {
 		return invalid("settings", err)
 	}
 	return config, nil
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -122,7 +122,7 @@
 	defer stop()
 	var logOutput bytes.Buffer
 	var history callHistory
-	client := newDiscoveryClient(service.Listener.Addr().String(), parseTestSite(t, settingsText), newClock(), slog.New(slog.NewTextHandler(&logOutput, nil)))
+	client := newDiscoveryClient(service.Listener.Addr().String(), parseTestNodeSettings(t, settingsText), newClock(), slog.New(slog.NewTextHandler(&logOutput, nil)))
 	client.onList = func(update listUpdate) {
 		if update.kind == policy.ListWhole {
 			history.servers = update.entries
@@ -232,7 +232,7 @@
 	}))
 	defer service.Close()
 	defer close(release)
-	client := newDiscoveryClient(service.Listener.Addr().String(), parseTestSite(t, testSettings), newClock(), slog.New(slog.DiscardHandler))
+	client := newDiscoveryClient(service.Listener.Addr().String(), parseTestNodeSettings(t, testSettings), newClock(), slog.New(slog.DiscardHandler))
 	client.responseTimeout = 500 * time.Millisecond
 	client.onList = func(listUpdate) { t.Error("half of a list is passed on") }
 	for _, whole := range []bool{true, false} {
@@ -247,7 +247,7 @@
 
 // Calls are answered in any order: an answer that arrives after a newer one changes nothing, and is no failure.
 func TestLateAnswerIsIgnored(t *testing.T) {
-	client := newDiscoveryClient("127.0.0.1:1", parseTestSite(t, testSettings), newClock(), slog.New(slog.DiscardHandler))
+	client := newDiscoveryClient("127.0.0.1:1", parseTestNodeSettings(t, testSettings), newClock(), slog.New(slog.DiscardHandler))
 	var published []policy.ListKind
 	client.onList = func(update listUpdate) { published = append(published, update.kind) }
 	var ends []policy.CallEnd
--- a/internal/node/gate_test.go
+++ b/internal/node/gate_test.go
@@ -52,7 +52,7 @@
 				io.WriteString(w, text)
 			}))
 			defer service.Close()
-			client := newDiscoveryClient(service.Listener.Addr().String(), parseTestSite(t, testSettings), newClock(), slog.New(slog.DiscardHandler))
+			client := newDiscoveryClient(service.Listener.Addr().String(), parseTestNodeSettings(t, testSettings), newClock(), slog.New(slog.DiscardHandler))
 			client.hasVersion, client.version = !strings.Contains(text, `"all":true`), 41
 			client.execute(t.Context(), callCommand{call: policy.Call{ID: 1}}) // nothing receives the reply
 			for deadline := time.Now().Add(time.Second); client.gate.admits(serverID(removed)); time.Sleep(time.Millisecond) {
--- a/internal/node/incarnations_test.go
+++ b/internal/node/incarnations_test.go
@@ -108,7 +108,7 @@
 	t.Helper()
 	l := newTestLoop(t)
 	l.advanceNow()
-	client := newDiscoveryClient("127.0.0.1:1", parseTestSite(t, testSettings), newClock(), slog.New(slog.DiscardHandler))
+	client := newDiscoveryClient("127.0.0.1:1", parseTestNodeSettings(t, testSettings), newClock(), slog.New(slog.DiscardHandler))
 	client.onList = func(update listUpdate) { l.applyListUpdate(update) }
 	client.onCallEnd = func(policy.CallEnd) {}
 	client.accept(parseList(t, `{"rev":41,"all":true,"targets":[`+entryText("s1", "in_service")+","+entryText("s2", "in_service")+`]}`))
@@ -279,7 +279,7 @@
 				write(w, `{"rev":42,"all":true,"targets":[`+entryText("s1", "terminating")+`]}`)
 			}))
 			defer service.Close()
-			client := newDiscoveryClient(service.Listener.Addr().String(), parseTestSite(t, testSettings), newClock(), slog.New(slog.DiscardHandler))
+			client := newDiscoveryClient(service.Listener.Addr().String(), parseTestNodeSettings(t, testSettings), newClock(), slog.New(slog.DiscardHandler))
 			client.execute(t.Context(), callCommand{call: policy.Call{ID: 1}})
 			time.Sleep(2 * bodyEndTimeout) // run is busy with another list
 			select {
@@ -304,7 +304,7 @@
 		<-r.Context().Done()
 	}))
 	defer service.Close()
-	client := newDiscoveryClient(service.Listener.Addr().String(), parseTestSite(t, testSettings), newClock(), slog.New(slog.DiscardHandler))
+	client := newDiscoveryClient(service.Listener.Addr().String(), parseTestNodeSettings(t, testSettings), newClock(), slog.New(slog.DiscardHandler))
 	client.execute(t.Context(), callCommand{call: policy.Call{ID: 1}})
 	<-began
 	client.abandon(1)
--- a/internal/node/list_cost_test.go
+++ b/internal/node/list_cost_test.go
@@ -40,7 +40,7 @@
 			var handler neverEndingDiscovery
 			service := httptest.NewServer(&handler)
 			t.Cleanup(func() { service.CloseClientConnections(); service.Close() })
-			settings := parseTestSite(t, testSettings)
+			settings := parseTestNodeSettings(t, testSettings)
 			policySettings := settings.Policy
 			policySettings.LongPolling, policySettings.ListOnRequest = true, onRequest
 			c := newClock()
--- a/internal/node/list_test.go
+++ b/internal/node/list_test.go
@@ -199,7 +199,7 @@
 func TestChangesOfManyServersAreLoggedInFewLines(t *testing.T) {
 	for servers, want := range map[int]int{1: 1, maxLoggedServers: maxLoggedServers, 5000: maxLoggedServers + 1} {
 		var text bytes.Buffer
-		client := newDiscoveryClient("", parseTestSite(t, testSettings), newClock(), slog.New(slog.NewTextHandler(&text, nil)))
+		client := newDiscoveryClient("", parseTestNodeSettings(t, testSettings), newClock(), slog.New(slog.NewTextHandler(&text, nil)))
 		published := 0
 		client.onList = func(update listUpdate) { published += len(update.entries) }
 		list, err := readList(bytes.NewReader(bytes.Replace(listText(servers), []byte("true"), []byte("false"), 1)), testZones, newClock())
--- a/internal/node/members_test.go
+++ b/internal/node/members_test.go
@@ -13,7 +13,7 @@
 // newTestLoop returns a loop that does not run: the test calls its methods.
 func newTestLoop(t testing.TB) *loop {
 	t.Helper()
-	l, err := newLoop(parseTestSite(t, testSettings).Policy, 1, newClock(), newUpstream(time.Hour, testTimeout, 8), newCallQueue())
+	l, err := newLoop(parseTestNodeSettings(t, testSettings).Policy, 1, newClock(), newUpstream(time.Hour, testTimeout, 8), newCallQueue())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -83,15 +83,15 @@
 func serve(ctx context.Context, config Config, listener net.Listener, reloader ConfigReloader, log *slog.Logger) error {
 	defer listener.Close()
 	clock := newClock()
-	settings := config.Site.Policy
+	settings := config.Settings.Policy
 	settings.ConfirmCachedList, settings.LongPolling = true, true
 	// A request in work takes one descriptor for its client and one for its server, and a hedged attempt takes
 	// another one for a server. Clients also have idle connections, and some that never send anything. So servers
 	// get slightly less than half.
 	servers := (config.Sockets - reservedSockets) * 9 / 20
 	clients := newClientConns(config.Sockets - reservedSockets - servers)
-	upstream := newUpstream(config.Site.ConnIdleTimeout, config.Site.ConnectTimeout, servers)
-	discovery := newDiscoveryClient(config.Discovery, config.Site, clock, log)
+	upstream := newUpstream(config.Settings.ConnIdleTimeout, config.Settings.ConnectTimeout, servers)
+	discovery := newDiscoveryClient(config.Discovery, config.Settings, clock, log)
 	loop, err := newLoop(settings, config.Seed, clock, upstream, discovery.commands)
 	if err != nil {
 		return err
@@ -134,7 +134,7 @@
 	if config.MemoryMB > 0 {
 		bodyBudgetBytes = int64(config.MemoryMB) << 20 / 8
 	}
-	front := newFront(loop, config.Site, clients, bodyBudgetBytes, ready.Load)
+	front := newFront(loop, config.Settings, clients, bodyBudgetBytes, ready.Load)
 	server := http.Server{
 		Handler: front, ReadHeaderTimeout: readTimeout, ReadTimeout: readTimeout,
 		WriteTimeout: answerWriteTimeout(settings.Classes), IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -134,7 +134,7 @@
 }
 
 // parseTestSite parses the settings of a node.
-func parseTestSite(t testing.TB, text string) wire.NodeSettings {
+func parseTestNodeSettings(t testing.TB, text string) wire.NodeSettings {
 	t.Helper()
 	settings, err := wire.ParseNodeSettings([]byte(text))
 	if err != nil {
@@ -179,7 +179,7 @@
 	}
 	config := Config{
 		Name: "n0", Listen: l.Addr().String(), Discovery: d.Listener.Addr().String(), Seed: 1,
-		Sockets: minSockets, KnownList: listMessage{Version: 1, IsWhole: true, Entries: known}, Site: parseTestSite(t, settingsText),
+		Sockets: minSockets, KnownList: listMessage{Version: 1, IsWhole: true, Entries: known}, Settings: parseTestNodeSettings(t, settingsText),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &testNode{addr: config.Listen, ended: make(chan struct{})}
@@ -645,7 +645,7 @@
 		c.Read(make([]byte, 1)) // sends nothing until the node closes the connection
 		return false
 	})
-	l, err := newLoop(parseTestSite(t, testSettings).Policy, 1, newClock(), newTestUpstream(t, 8), newCallQueue())
+	l, err := newLoop(parseTestNodeSettings(t, testSettings).Policy, 1, newClock(), newTestUpstream(t, 8), newCallQueue())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -687,7 +687,7 @@
 		c.Read(make([]byte, 1)) // sends nothing until the node closes the connection
 		return false
 	})
-	settings := parseTestSite(t, strings.ReplaceAll(testSettings, `"DeadlineMs": 3000`, `"DeadlineMs": 60000`))
+	settings := parseTestNodeSettings(t, strings.ReplaceAll(testSettings, `"DeadlineMs": 3000`, `"DeadlineMs": 60000`))
 	l, err := newLoop(settings.Policy, 1, newClock(), newTestUpstream(t, 8), newCallQueue())
 	if err != nil {
 		t.Fatal(err)
@@ -730,7 +730,7 @@
 func submitWithLateConnection(t *testing.T, class int, change func(*policy.Settings)) (l *loop, r *request, startServer func(string) *fakeServer, done chan finalAnswer) {
 	t.Helper()
 	addr, startServer := listenWithFullBacklog(t)
-	settings := parseTestSite(t, testSettings).Policy
+	settings := parseTestNodeSettings(t, testSettings).Policy
 	change(&settings)
 	l, err := newLoop(settings, 1, newClock(), newUpstream(time.Hour, testTimeout, 8), newCallQueue())
 	if err != nil {
@@ -804,7 +804,7 @@
 		"a late first attempt": {lateAcceptingServer, acceptingServer(hangs), 0, phaseUnsent},
 	} {
 		t.Run(name, func(t *testing.T) {
-			settings := parseTestSite(t, testSettings).Policy
+			settings := parseTestNodeSettings(t, testSettings).Policy
 			settings.Limits.AllowHedging = testCase.lateIndex == 0
 			settings.Classes = settings.Classes[1:2]
 			class := &settings.Classes[0]
--- a/internal/node/outdated_answer_test.go
+++ b/internal/node/outdated_answer_test.go
@@ -19,7 +19,7 @@
 		"call after the latest answer":  now.Add(time.Second),
 		"call before the latest answer": now.Add(-time.Second),
 	} {
-		client := newDiscoveryClient("127.0.0.1:1", parseTestSite(t, testSettings), newClock(), slog.New(slog.DiscardHandler))
+		client := newDiscoveryClient("127.0.0.1:1", parseTestNodeSettings(t, testSettings), newClock(), slog.New(slog.DiscardHandler))
 		var outOfService []policy.Entry
 		client.onList = func(update listUpdate) {
 			if update.kind == policy.ListPartial || update.kind == policy.ListOutdated {
--- a/internal/node/real_node_scale_test.go
+++ b/internal/node/real_node_scale_test.go
@@ -55,7 +55,7 @@
 	}
 	config := Config{
 		Name: "n0", Listen: front.Addr().String(), Discovery: service.Listener.Addr().String(), Seed: 1,
-		Sockets: 1024, KnownList: service.list(), Site: fleetNodeSettings(b, nodes, deployedMaxCallInterval),
+		Sockets: 1024, KnownList: service.list(), Settings: fleetNodeSettings(b, nodes, deployedMaxCallInterval),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -39,7 +39,7 @@
 			"name":     next.Name == current.Name,
 			"listen":   next.Listen == current.Listen,
 			"limits":   next.MemoryMB == current.MemoryMB && next.Sockets == current.Sockets,
-			"settings": reflect.DeepEqual(next.Site, current.Site),
+			"settings": reflect.DeepEqual(next.Settings, current.Settings),
 		} {
 			if !unchanged {
 				log.Warn("reload: a change that needs a restart is ignored", "what", setting)
--- a/internal/node/response_faults_test.go
+++ b/internal/node/response_faults_test.go
@@ -146,7 +146,7 @@
 func TestNoStateOutlivesItsServerOrRequest(t *testing.T) {
 	s := newFakeServer(t, respondWith(okResponse("x"), true))
 	u := newTestUpstream(t, 8)
-	l, err := newLoop(parseTestSite(t, testSettings).Policy, 1, newClock(), u, newCallQueue())
+	l, err := newLoop(parseTestNodeSettings(t, testSettings).Policy, 1, newClock(), u, newCallQueue())
 	if err != nil {
 		t.Fatal(err)
 	}
