--- a/internal/standin/answer.go
+++ b/internal/standin/answer.go
@@ -9,38 +9,39 @@
 	"time"
 )
 
-// Answer is what a replica has to say to one call.
+// Answer describes one call to a replica and the list that answers it.
 type Answer struct {
-	CallNumber      int       // of the call
-	CalledAt        time.Time // when the call came
-	FirstByteAt     time.Time // when the first byte of its answer was written
-	VersionRestarts int       // how often the replica's versions had started anew
+	CallNumber      int       // number of the call, counted from 1 for each replica
+	CalledAt        time.Time // time at which the call arrived
+	FirstByteAt     time.Time // time at which the first byte of the answer was written; zero before
+	VersionRestarts int       // number of restarts of the replica's versions before the call
 	List            List
 }
 
-// AnswerObserver is told what a replica writes to its callers.
+// AnswerObserver receives reports of what a replica writes to its callers.
 type AnswerObserver interface {
-	// Completing tells that the end of a message is about to be written.
+	// Completing reports that the replica is about to write the end of a message.
 	Completing(answer *Answer)
-	// Wrote tells of lines whose last byte has been written and flushed, and whether the message is whole.
-	EntriesWritten(answer *Answer, lines []Entry, whole bool)
-	// Abandoned tells that a caller left before its message was whole.
+	// EntriesWritten reports entries that were written and flushed up to their last byte, and whether the
+	// message is complete.
+	EntriesWritten(answer *Answer, entries []Entry, complete bool)
+	// Abandoned reports that a caller disconnected before its message was complete.
 	Abandoned(answer *Answer)
 }
 
-// observedWriter tells an observer what is written through it, whoever writes it and in what pieces.
+// observedWriter reports to an observer what is written through it, whatever the size of the single writes.
 type observedWriter struct {
 	http.ResponseWriter
 	answer             *Answer
 	observer           AnswerObserver
-	written            []byte // so far
-	reportedEntries    int    // lines
-	completingReported bool   // the end of the message was written
-	completeReported   bool   // and flushed
-	hijacked           bool   // nothing goes through it any more
+	written            []byte // body written so far
+	reportedEntries    int    // number of entries that were reported
+	completingReported bool   // Completing was called
+	completeReported   bool   // EntriesWritten was called with the complete message
+	hijacked           bool   // the connection was taken over, and nothing more is written here
 }
 
-// Unwrap lets a http.ResponseController reach the connection.
+// Unwrap returns the inner writer, through which an http.ResponseController reaches the connection.
 func (w *observedWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
 // Hijack implements http.Hijacker.
@@ -62,7 +63,7 @@
 	return w.ResponseWriter.Write(p)
 }
 
-// FlushError sends what was written, and tells of it.
+// FlushError flushes what was written and reports it.
 func (w *observedWriter) FlushError() error {
 	if err := http.NewResponseController(w.ResponseWriter).Flush(); err != nil {
 		return err
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// report tells of what is new.
+// reportProgress reports the entries that were completed since the last report, and the end of the message.
 func (w *observedWriter) reportProgress() {
 	if w.observer == nil || w.completeReported {
 		return
@@ -84,7 +85,8 @@
 	w.reportedEntries, w.completeReported = len(entries), complete
 }
 
-// end ends an answer that was not aborted.
+// finish ends the handling of a call. It reports a caller that disconnected before the message was
+// complete; otherwise it flushes what was written, unless the connection was taken over.
 func (w *observedWriter) finish(request *http.Request) {
 	hasLeft := request.Context().Err() != nil
 	if hasLeft && !w.completeReported && w.observer != nil {
@@ -95,7 +97,8 @@
 	}
 }
 
-// linesWithin gives the lines that are whole in the text of a message so far, and whether all of it is.
+// parsePartialList returns the complete entries in the text of a message so far, and whether the message is
+// complete.
 func parsePartialList(text []byte) (entries []Entry, complete bool) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	if opening, err := decoder.Token(); err != nil || opening != json.Delim('{') {
@@ -122,7 +125,8 @@
 	return entries, err == nil && closing == json.Delim('}')
 }
 
-// targetsWithin reads an array of lines as far as it goes, and tells whether its end is there.
+// parsePartialEntries reads an array of entries up to the end of the text, and reports whether the array is
+// complete.
 func parsePartialEntries(decoder *json.Decoder) (entries []Entry, complete bool) {
 	if opening, err := decoder.Token(); err != nil || opening != json.Delim('[') {
 		return nil, false
--- a/internal/standin/answer_framing.go
+++ b/internal/standin/answer_framing.go
@@ -9,43 +9,43 @@
 	"time"
 )
 
-// Coding says how the end of a message is told.
+// BodyDelimiter says how the end of a message body is marked.
 type BodyDelimiter int
 
-// How the end of a message is told.
+// The ways to mark the end of a message body.
 const (
-	ContentLength BodyDelimiter = iota // by a Content-Length
-	Chunked                            // by a last chunk
-	UntilClose                         // by the end of the connection
+	ContentLength BodyDelimiter = iota // a Content-Length header
+	Chunked                            // chunked transfer coding with a last chunk
+	UntilClose                         // the end of the connection
 )
 
-// Ending says what becomes of the end of a message, behind the closing brace of its text.
+// Ending says how a message ends after the closing brace of its text.
 type Ending int
 
-// What becomes of the end.
+// The ways in which a message ends.
 const (
-	EndsAtOnce Ending = iota
-	EndsLate          // after Framing.EndDelay
-	EndsNever         // the connection stays open and silent
-	EndsByReset
+	EndsAtOnce  Ending = iota // the end follows the text
+	EndsLate                  // the end is written after Framing.EndDelay
+	EndsNever                 // the end is never written, and the connection stays open
+	EndsByReset               // the connection is reset in place of the end
 )
 
-// Framing is one of the forms in which an answer may be written. The zero value is a compact text in one
-// piece, with its length.
+// Framing is a form in which an answer is written. The zero value writes a compact text in one piece, with
+// a Content-Length.
 type Framing struct {
 	Delimiter         BodyDelimiter
 	Ending            Ending
 	EndDelay          time.Duration
 	Indented          bool
-	VersionLast       bool          // the version comes behind the lines
-	Pieces            int           // in which the text is written; 0: one, or as many as there are lines
-	EntryPerPiece     bool          // a piece ends behind each line
-	Pause             time.Duration // behind each piece
-	RestDelay         time.Duration // the first line is a piece, and the rest another one, so much later; 0: they are not
-	ResetAfterEntries int           // lines behind which the connection is reset; 0: it is not
+	VersionLast       bool          // the version follows the entries
+	Pieces            int           // number of pieces, unless EntryPerPiece or RestDelay is set; 0: one
+	EntryPerPiece     bool          // each entry ends a piece
+	Pause             time.Duration // pause between two pieces
+	RestDelay         time.Duration // delay after the first entry, before the rest follows in one piece; 0: none
+	ResetAfterEntries int           // number of entries after which the connection is reset; 0: no reset
 }
 
-// Framed answers calls in some form.
+// Framed returns a fault that answers calls in the given framing.
 func Framed(framing Framing) Fault {
 	return func(c *Call) {
 		if text := c.answerText(); text != nil {
@@ -54,7 +54,8 @@
 	}
 }
 
-// write writes an answer; what is no list is written as it is.
+// write writes an answer in this framing. A text that is not a list is written unchanged, with a
+// Content-Length.
 func (f *Framing) write(c *Call, text []byte) {
 	var list List
 	if err := json.Unmarshal(text, &list); err != nil {
@@ -74,10 +75,11 @@
 	}
 }
 
-// tail is what comes late of a message with a length: white space behind the closing brace.
+// lateWhitespace follows the closing brace of a message with a Content-Length whose end comes late or
+// never.
 const lateWhitespace = "\n"
 
-// head writes the headers.
+// writeHeaders sets the headers that mark the end of a body of the given length in bytes.
 func (f *Framing) writeHeaders(c *Call, length int) {
 	switch f.Delimiter {
 	case ContentLength:
@@ -86,11 +88,11 @@
 		}
 		c.Writer.Header().Set("Content-Length", strconv.Itoa(length))
 	case UntilClose:
-		c.Writer.Header().Set("Transfer-Encoding", "identity") // net/http closes behind it
+		c.Writer.Header().Set("Transfer-Encoding", "identity") // makes net/http close the connection after the body
 	}
 }
 
-// pieces writes a text piece by piece; false where the caller has left.
+// writePieces writes a text piece by piece. It returns false if the caller disconnects.
 func (f *Framing) writePieces(c *Call, text []byte, entryEnds []int) bool {
 	ends := []int{len(text)}
 	pause := max(f.Pause, f.RestDelay)
@@ -117,7 +119,7 @@
 	return true
 }
 
-// end does with the end of a message what is to become of it.
+// applyEnding ends a message whose text has been written in the way that f.Ending says.
 func (f *Framing) applyEnding(c *Call) {
 	switch f.Ending {
 	case EndsAtOnce:
@@ -134,13 +136,13 @@
 	}
 }
 
-// resetCaller resets the connection of a call, once what was written has arrived.
+// resetAfterDelivery resets the connection of a call after resetDelay, in which the written bytes arrive.
 func resetAfterDelivery(c *Call) {
 	c.pause(resetDelay)
 	c.resetConn()
 }
 
-// render gives the text of a list, and where each of its lines ends.
+// encode returns the text of a list and the offset at which each of its entries ends.
 func (f *Framing) encode(list List) (text []byte, entryEnds []int) {
 	var out bytes.Buffer
 	versionFields := fmt.Sprintf(`"rev":%d,"all":%t`, list.Version, list.IsWhole)
@@ -164,11 +166,11 @@
 	return out.Bytes(), entryEnds
 }
 
-// line gives the text of one line.
+// encodeEntry returns the text of one entry.
 func (f *Framing) encodeEntry(entry Entry) []byte {
 	text, err := json.Marshal(entry)
 	if err != nil {
-		panic(err) // a weight that is no number
+		panic(err) // the capacity hint is NaN or infinite
 	}
 	if !f.Indented {
 		return text
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -1,5 +1,5 @@
-// Package standin has stand-ins for the parties that a node talks to, for tests and experiments on this
-// machine: a discovery service whose answers can be spoilt in many ways, and a proxy that spoils
+// Package standin provides stand-ins for the parties that a node talks to, for tests and experiments on one
+// machine: a discovery service with injectable faults, and a TCP proxy that injects faults into
 // connections.
 package standin
 
@@ -16,14 +16,14 @@
 	"time"
 )
 
-// The states of a listed server, in discovery's words.
+// The states of a listed server, as discovery spells them.
 const (
 	InService   = "in_service"
 	Terminating = "terminating"
 	Terminated  = "terminated"
 )
 
-// Line is discovery's line for one server.
+// Entry is discovery's list entry for one server.
 type Entry struct {
 	UID          string  `json:"uid"`
 	Endpoint     string  `json:"endpoint"`
@@ -31,49 +31,49 @@
 	PodGroup     int     `json:"pod_group"`
 	State        string  `json:"state"`
 	CapacityHint float64 `json:"capacity_hint"`
-	BootMs       int64   `json:"boot_ms"` // Unix time in milliseconds; 0: long ago
+	BootMs       int64   `json:"boot_ms"` // start of the server, Unix time in milliseconds; 0: long ago
 }
 
-// List is an answer of discovery: the whole list or the changes to it.
+// List is an answer of discovery: the whole list, or the changes since a version.
 type List struct {
 	Version int64   `json:"rev"`
 	IsWhole bool    `json:"all"`
 	Entries []Entry `json:"targets"`
 }
 
-// version is what one version of the list changed.
+// listChange holds the entries that one version of the list changed.
 type listChange struct {
 	version int64
 	entries []Entry
 }
 
-// Discovery is a discovery service that speaks the published protocol: whole lists, and watches that wait
-// for changes. It is safe for concurrent use.
+// Discovery is a discovery service that speaks the published protocol: it answers calls for the whole list,
+// and watches, which wait for changes. It is safe for concurrent use.
 type Discovery struct {
 	server *httptest.Server
 
 	mu               sync.Mutex
 	version          int64
 	entries          map[string]Entry
-	changedAtVersion map[string]int64 // version of the latest change, by uid
-	changed          chan struct{}    // closed and replaced at each change
-	fault            Fault            // nil: none
-	faultChanged     chan struct{}    // closed and replaced when the fault changes
+	changedAtVersion map[string]int64 // version of each server's latest change, by UID
+	changed          chan struct{}    // channel that is closed and replaced at each change
+	fault            Fault            // fault that applies to calls; nil: none
+	faultChanged     chan struct{}    // channel that is closed and replaced when the fault changes
 	callCount        int
 
-	changeLog      []listChange       // all versions, oldest first
-	replicas       []discoveryReplica // services that take the changes over
-	watchedVersion int64              // the latest version that a call asked for changes since
+	changeLog      []listChange       // changes of all versions, oldest first
+	replicas       []discoveryReplica // services that copy the changes
+	watchedVersion int64              // latest version since which a call asked for changes
 }
 
-// NewDiscovery starts a service on loopback whose first version, 1, has the given lines. Close ends it.
+// NewDiscovery starts a service on loopback whose first version, 1, has the given entries. Close stops it.
 func NewDiscovery(entries []Entry) *Discovery {
 	d := newDiscovery(entries)
 	d.server = httptest.NewServer(d)
 	return d
 }
 
-// NewDiscoveryAt is NewDiscovery at an address, as host:port.
+// NewDiscoveryAt starts a service like NewDiscovery, at an address in the form host:port.
 func NewDiscoveryAt(addr string, entries []Entry) (*Discovery, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -87,6 +87,7 @@
 	return d, nil
 }
 
+// newDiscovery returns a service without a listener, at version 1 with the given entries.
 func newDiscovery(entries []Entry) *Discovery {
 	d := &Discovery{
 		version: 1, entries: map[string]Entry{}, changedAtVersion: map[string]int64{},
@@ -96,17 +97,17 @@
 	return d
 }
 
-// Addr is where it listens, as host:port.
+// Addr returns the service's address as host:port.
 func (d *Discovery) Addr() string { return d.server.Listener.Addr().String() }
 
-// Close ends the service and all its connections.
+// Close stops the service and closes its connections.
 func (d *Discovery) Close() {
 	d.SetFault(nil)
 	d.server.CloseClientConnections()
 	d.server.Close()
 }
 
-// Change puts lines in place as one new version and gives its number.
+// Change adds or replaces entries as one new version and returns that version.
 func (d *Discovery) Change(entries ...Entry) int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -115,7 +116,7 @@
 	return d.version
 }
 
-// put puts lines in place as a version. The lock is held.
+// addVersion adds or replaces entries as the given version. The caller holds d.mu.
 func (d *Discovery) addVersion(version int64, entries []Entry) {
 	d.version = version
 	for _, entry := range entries {
@@ -126,7 +127,7 @@
 	d.changed = make(chan struct{})
 }
 
-// listOf gives the whole list as of a version.
+// listAtVersion returns the whole list as it was at a version.
 func (d *Discovery) listAtVersion(version int64) List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -139,36 +140,37 @@
 	return earlier.listSince(0)
 }
 
-// Watched is the latest version that a call asked for changes since: its caller has taken that version.
+// WatchedVersion returns the latest version since which a call asked for changes. Its caller has accepted
+// that version.
 func (d *Discovery) WatchedVersion() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.watchedVersion
 }
 
-// Line gives the present line of a server.
+// Entry returns the current entry of a server.
 func (d *Discovery) Entry(uid string) Entry {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.entries[uid]
 }
 
-// Known gives the whole list, as a configuration may hold it.
+// KnownList returns the whole list in the form in which a configuration holds it.
 func (d *Discovery) KnownList() List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.listSince(0)
 }
 
-// Calls is the number of calls that came so far.
+// CallCount returns the number of calls so far.
 func (d *Discovery) CallCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.callCount
 }
 
-// SetFault sets what happens to calls that come from now on; nil: they are answered. Faults that wait for
-// the next change of the fault end their waiting.
+// SetFault sets the fault that applies to open watches and to calls that arrive from now on; nil answers
+// them. Faults that wait for the next change of the fault stop waiting.
 func (d *Discovery) SetFault(fault Fault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -177,7 +179,7 @@
 	d.faultChanged = make(chan struct{})
 }
 
-// ServeHTTP implements http.Handler. A fault strikes open watches as well as the calls that come after it.
+// ServeHTTP implements http.Handler. A fault applies to open watches as well as to calls that arrive later.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	d.callCount++
@@ -189,7 +191,7 @@
 	text, err := d.awaitAnswer(r, call.faultChanged)
 	call.beganBeforeFault = true
 	if d.applyFault(call) == nil {
-		return // a fault has begun meanwhile
+		return // a fault was set while the call waited
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -198,8 +200,8 @@
 	call.write(text)
 }
 
-// strike has the present fault strike a call; nil once it is done with it. Where there is none it gives
-// what is closed when that changes.
+// applyFault has the current fault finish a call and returns nil. Without a fault it returns a channel that
+// is closed when the fault changes.
 func (d *Discovery) applyFault(call *Call) <-chan struct{} {
 	d.mu.Lock()
 	fault, faultChanged := d.fault, d.faultChanged
@@ -212,7 +214,8 @@
 	return nil
 }
 
-// answer waits for what a call asks for, or until the channel closes, and gives its text.
+// awaitAnswer returns the text that answers a call. For a watch it first waits for a change, until the
+// timeout of the watch or until the channel is closed.
 func (d *Discovery) awaitAnswer(r *http.Request, until <-chan struct{}) ([]byte, error) {
 	query := r.URL.Query()
 	if !query.Has("since") {
@@ -235,7 +238,8 @@
 	return json.Marshal(d.listSince(since))
 }
 
-// await waits until there is something newer than a version or the channel closes, for some time at most.
+// awaitChange waits until the list is newer than a version, the wait is over, the channel is closed or the
+// caller disconnects.
 func (d *Discovery) awaitChange(r *http.Request, since int64, wait time.Duration, until <-chan struct{}) {
 	d.mu.Lock()
 	changed, isNewer := d.changed, d.version > since
@@ -253,7 +257,7 @@
 	}
 }
 
-// since gives what is newer than a version; 0: the whole list. The lock is held.
+// listSince returns the changes since a version, or the whole list for version 0. The caller holds d.mu.
 func (d *Discovery) listSince(version int64) List {
 	list := List{Version: d.version, IsWhole: version == 0, Entries: []Entry{}}
 	for uid, entry := range d.entries {
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -10,22 +10,23 @@
 	"time"
 )
 
-// Call is one call to discovery, which a Fault answers or not.
+// Call is one call to discovery, which a Fault answers or leaves unanswered.
 type Call struct {
 	Writer  http.ResponseWriter
 	Request *http.Request
 
 	discovery        *Discovery
-	faultChanged     <-chan struct{} // closed when the fault of the service changes
-	framing          *Framing        // nil: a compact text with its length
+	faultChanged     <-chan struct{} // channel that is closed when the fault of the service changes
+	framing          *Framing        // framing of the answer; nil: compact text with a Content-Length
 	awaitAnswer      func() ([]byte, error)
-	beganBeforeFault bool // it had come before the fault began
+	beganBeforeFault bool // the call arrived before the fault was set
 }
 
-// Answer writes what discovery has to say, once there is something.
+// Answer writes discovery's answer as soon as there is one.
 func (c *Call) Answer() { c.write(c.answerText()) }
 
-// text gives discovery's answer; nil where the call is malformed, which is answered.
+// answerText returns the text of discovery's answer. It answers a malformed call with status 400 and
+// returns nil.
 func (c *Call) answerText() []byte {
 	text, err := c.awaitAnswer()
 	if err != nil {
@@ -35,6 +36,7 @@
 	return text
 }
 
+// write writes the text of an answer in the framing of the call. It writes nothing if the text is nil.
 func (c *Call) write(text []byte) {
 	switch {
 	case text == nil:
@@ -45,13 +47,13 @@
 	}
 }
 
-// writeAsIs writes a text with its length.
+// writeWithLength writes a text with a Content-Length.
 func (c *Call) writeWithLength(text []byte) {
 	c.Writer.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	c.Writer.Write(text)
 }
 
-// pause waits; false where the caller has left.
+// pause waits for a delay. It returns false if the caller disconnects.
 func (c *Call) pause(delay time.Duration) bool {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
@@ -63,10 +65,10 @@
 	}
 }
 
-// Fault is what happens to a call in place of its answer. It returns once it is done with the call.
+// Fault handles a call in place of its answer. It returns when the call is finished.
 type Fault func(c *Call)
 
-// Slow has calls reach discovery only after some time.
+// DelayedCalls returns a fault that delays calls before they reach discovery.
 func DelayedCalls(delay time.Duration) Fault {
 	return func(c *Call) {
 		if c.pause(delay) {
@@ -75,7 +77,7 @@
 	}
 }
 
-// SlowAnswers has discovery's answers come only after some time: they tell what it had before.
+// DelayedAnswers returns a fault that delays answers. They hold the state from before the delay.
 func DelayedAnswers(delay time.Duration) Fault {
 	return func(c *Call) {
 		if text := c.answerText(); c.pause(delay) {
@@ -84,10 +86,10 @@
 	}
 }
 
-// Unavailable answers 503.
+// Unavailable answers with status 503.
 func Unavailable(c *Call) { c.Writer.WriteHeader(http.StatusServiceUnavailable) }
 
-// Crowded answers 503 after some time.
+// UnavailableAfter returns a fault that answers with status 503 after a delay.
 func UnavailableAfter(delay time.Duration) Fault {
 	return func(c *Call) {
 		if c.pause(delay) {
@@ -96,16 +98,16 @@
 	}
 }
 
-// Reset breaks the connection.
+// Reset closes the connection without an answer.
 func Reset(*Call) { panic(http.ErrAbortHandler) }
 
-// Silent says nothing to a call, ever: its connection is dead, also when discovery is well again.
+// NoAnswer never answers a call, not even after the fault has ended, and keeps its connection open.
 func NoAnswer(c *Call) { <-c.Request.Context().Done() }
 
-// Malformed answers what is no JSON.
+// Malformed answers with a text that is not valid JSON.
 func Malformed(c *Call) { c.write([]byte(`{"rev":2,"targets":[}`)) }
 
-// Cut ends answers in their middle.
+// Truncated sends half of an answer and closes the connection.
 func Truncated(c *Call) {
 	text := c.answerText()
 	c.Writer.Header().Set("Content-Length", strconv.Itoa(len(text)))
@@ -113,14 +115,14 @@
 	panic(http.ErrAbortHandler)
 }
 
-// HeadOnly sends the head of an answer and nothing more.
+// HeadersOnly sends the headers of an answer and never its body.
 func HeadersOnly(c *Call) {
 	c.Writer.Header().Set("Content-Length", "5000")
 	http.NewResponseController(c.Writer).Flush()
 	NoAnswer(c)
 }
 
-// Stalled begins an answer and falls silent in its middle until the fault of the service changes.
+// Stalled sends half of an answer, and the rest once the fault of the service changes.
 func Stalled(c *Call) {
 	text := c.answerText()
 	c.Writer.Header().Set("Content-Length", strconv.Itoa(len(text)))
@@ -133,7 +135,8 @@
 	}
 }
 
-// MissedWatches has watches that are open as a fault begins miss what changes then: they have nothing new to tell.
+// OpenWatchesMissChanges returns a fault that applies another fault to all calls. Watches that are open
+// when it is set are answered without the changes that they waited for.
 func OpenWatchesMissChanges(fault Fault) Fault {
 	return func(c *Call) {
 		if c.beganBeforeFault {
@@ -143,7 +146,7 @@
 	}
 }
 
-// nothingNew is the answer to a watch that has waited in vain.
+// encodeNoChanges returns the answer to a watch that ends without a change.
 func (c *Call) encodeNoChanges() ([]byte, error) {
 	since, err := strconv.ParseInt(c.Request.URL.Query().Get("since"), 10, 64)
 	if err != nil {
@@ -152,7 +155,7 @@
 	return json.Marshal(List{Version: since, Entries: []Entry{}})
 }
 
-// After has another fault strike calls after some time.
+// After returns a fault that applies another fault after a delay.
 func After(delay time.Duration, fault Fault) Fault {
 	return func(c *Call) {
 		if c.pause(delay) {
@@ -161,7 +164,7 @@
 	}
 }
 
-// Pieces sends answers in some pieces with pauses between them.
+// Pieces returns a fault that sends answers in the given number of pieces with a pause after each.
 func Pieces(count int, pause time.Duration) Fault {
 	return func(c *Call) {
 		text := c.answerText()
@@ -176,8 +179,8 @@
 	}
 }
 
-// Sequence has each of some faults strike one call, the first one the first; nil is none. Calls behind them
-// are answered.
+// Sequence returns a fault that applies each of the given faults to one call, in their order; nil answers
+// the call. Later calls are answered.
 func Sequence(faults ...Fault) Fault {
 	var calls atomic.Int64
 	return func(c *Call) {
@@ -190,7 +193,7 @@
 	}
 }
 
-// AllBut has a fault strike all calls but every nth.
+// AllButEveryNth returns a fault that answers every nth call and applies another fault to all others.
 func AllButEveryNth(nth int, fault Fault) Fault {
 	var calls atomic.Int64
 	return func(c *Call) {
@@ -202,7 +205,8 @@
 	}
 }
 
-// Sometimes has a fault strike a share of the calls, drawn at random by a seed.
+// AtRandom returns a fault that applies another fault to a random share of the calls. The seed determines
+// which.
 func AtRandom(share float64, seed uint64, fault Fault) Fault {
 	var mu sync.Mutex
 	random := rand.New(rand.NewPCG(seed, 0))
--- a/internal/standin/fault_test.go
+++ b/internal/standin/fault_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// askFor gets an answer of a service; the error is that of its body.
+// callDiscovery returns the answer of a service, or the error of reading or decoding its body.
 func callDiscovery(t *testing.T, d *Discovery, query string) (list List, bodyErr error) {
 	t.Helper()
 	resp, err := http.Get("http://" + d.Addr() + "/discovery/hosts" + query)
@@ -23,7 +23,7 @@
 	return list, json.Unmarshal(text, &list)
 }
 
-// A watch that is open as the fault begins misses the change that comes with it; the next call does not.
+// A watch that is open when the fault is set misses the next change; the next call does not.
 func TestOpenWatchMissesTheChange(t *testing.T) {
 	d := NewDiscovery([]Entry{{UID: "a", State: InService}})
 	defer d.Close()
@@ -38,14 +38,14 @@
 	d.SetFault(OpenWatchesMissChanges((*Call).Answer))
 	d.Change(Entry{UID: "a", State: Terminating})
 	if list := <-answered; list.Version != 1 || len(list.Entries) != 0 {
-		t.Errorf("the open watch is told %+v", list)
+		t.Errorf("the open watch gets %+v, want no changes and version 1", list)
 	}
 	if list, err := callDiscovery(t, d, "?since=1&timeout_ms=1"); err != nil || list.Version != 2 || len(list.Entries) != 1 {
-		t.Errorf("the next call is told %+v, error %v", list, err)
+		t.Errorf("the next call gets %+v, error %v, want the change as version 2", list, err)
 	}
 }
 
-// A fault that strikes after some time strikes no sooner.
+// A delayed fault must not apply before its delay is over.
 func TestFaultAppliesAfterItsDelay(t *testing.T) {
 	const delay = 50 * time.Millisecond
 	d := NewDiscovery(nil)
@@ -58,6 +58,6 @@
 	}
 	resp.Body.Close()
 	if took := time.Since(startedAt); took < delay || resp.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("status %d after %v", resp.StatusCode, took)
+		t.Errorf("status %d after %v, want 503 after the delay", resp.StatusCode, took)
 	}
 }
--- a/internal/standin/framing.go
+++ b/internal/standin/framing.go
@@ -10,10 +10,11 @@
 	"time"
 )
 
-// resetDelay lets what was written arrive before its connection is reset.
+// resetDelay is the time for written bytes to arrive before their connection is reset.
 const resetDelay = 100 * time.Millisecond
 
-// Cycle has each of some faults strike one call and begins anew behind the last one; nil is none.
+// Cycle returns a fault that applies each of the given faults to one call, in their order and again from
+// the first one; nil answers the call.
 func Cycle(faults ...Fault) Fault {
 	var calls atomic.Int64
 	return func(c *Call) {
@@ -26,7 +27,8 @@
 	}
 }
 
-// ByKind has one fault strike calls that wait for changes and another one those for the whole list; nil is none.
+// ByCallKind returns a fault that applies one fault to watches and another one to calls for the whole list;
+// nil answers the call.
 func ByCallKind(watchFault, wholeListFault Fault) Fault {
 	return func(c *Call) {
 		fault := wholeListFault
@@ -41,21 +43,22 @@
 	}
 }
 
-// UnknownVersion answers 400, as to a version that the service does not know.
+// UnknownVersion answers with status 400, as a service does that does not know the version of the call.
 func UnknownVersion(c *Call) { c.Writer.WriteHeader(http.StatusBadRequest) }
 
-// EarlierList answers at once with the whole list of an earlier version, as a replica that lags.
+// EarlierList returns a fault that answers at once with the whole list of an earlier version, like a
+// lagging replica.
 func EarlierList(version int64) Fault {
 	return func(c *Call) { c.writeList(c.discovery.listAtVersion(version)) }
 }
 
-// WholeList answers with the whole list where changes were asked for, too.
+// WholeList answers every call with the whole list, also a watch, which still waits for changes.
 func WholeList(c *Call) {
-	c.answerText() // waits for news
+	c.answerText() // waits for changes
 	c.writeList(c.discovery.KnownList())
 }
 
-// LateEnd writes an answer with no length at once and its end after some time.
+// LateEnd returns a fault that writes a chunked answer at once and its last chunk after a delay.
 func LateEnd(delay time.Duration) Fault {
 	return func(c *Call) {
 		c.writeChunked(c.answerText())
@@ -63,20 +66,21 @@
 	}
 }
 
-// NoEnd writes an answer with no length at once, and never its end.
+// NoEnd writes a chunked answer at once and never its last chunk.
 func NoEnd(c *Call) {
 	c.writeChunked(c.answerText())
 	NoAnswer(c)
 }
 
-// ResetEnd writes an answer with no length at once, and a reset in place of its end.
+// ResetEnd writes a chunked answer at once and resets the connection in place of the last chunk.
 func ResetEnd(c *Call) {
 	c.writeChunked(c.answerText())
 	c.pause(resetDelay)
 	c.resetConn()
 }
 
-// LateBehindLines writes an answer up to the end of some of its lines, and the rest after some time.
+// DelayAfterEntries returns a fault that writes an answer up to the end of the given number of entries, and
+// the rest after a delay.
 func DelayAfterEntries(entries int, delay time.Duration) Fault {
 	return func(c *Call) {
 		head, rest := splitAfterEntries(c.answerText(), entries)
@@ -87,7 +91,8 @@
 	}
 }
 
-// CutBehindLines writes an answer up to the end of some of its lines and resets the connection.
+// ResetAfterEntries returns a fault that writes an answer up to the end of the given number of entries and
+// resets the connection.
 func ResetAfterEntries(entries int) Fault {
 	return func(c *Call) {
 		head, _ := splitAfterEntries(c.answerText(), entries)
@@ -97,7 +102,8 @@
 	}
 }
 
-// LineByLine writes the first lines of an answer at once and the others one by one with pauses ahead of them.
+// EntryByEntry returns a fault that writes the given number of first entries of an answer at once, and each
+// further one after a pause.
 func EntryByEntry(firstEntries int, pause time.Duration) Fault {
 	return func(c *Call) {
 		head, rest := splitAfterEntries(c.answerText(), firstEntries)
@@ -109,14 +115,14 @@
 	}
 }
 
-// Padded has a fault strike answers that some blanks follow.
+// Padded returns a fault that applies another fault to answers with the given number of trailing spaces.
 func Padded(spaces int, fault Fault) Fault {
 	return rewriteAnswers(fault, func(text []byte) ([]byte, error) {
 		return append(text, bytes.Repeat([]byte{' '}, spaces)...), nil
 	})
 }
 
-// VersionLast has a fault strike answers that tell their version behind the lines.
+// VersionLast returns a fault that applies another fault to answers whose version follows the entries.
 func VersionLast(fault Fault) Fault {
 	return rewriteAnswers(fault, func(text []byte) ([]byte, error) {
 		var list List
@@ -131,7 +137,7 @@
 	})
 }
 
-// rewritten has a fault strike calls whose answers are rewritten.
+// rewriteAnswers returns a fault that applies another fault to calls whose answers rewrite has changed.
 func rewriteAnswers(fault Fault, rewrite func(text []byte) ([]byte, error)) Fault {
 	return func(c *Call) {
 		answer := c.awaitAnswer
@@ -146,7 +152,8 @@
 	}
 }
 
-// splitBehindLines splits an answer behind the given number of lines; they hold no braces but their own.
+// splitAfterEntries splits an answer after the given number of entries. It finds their ends by the closing
+// braces, so that an entry must not hold braces of its own.
 func splitAfterEntries(text []byte, entries int) (head, rest []byte) {
 	end := 0
 	for range entries {
@@ -159,7 +166,7 @@
 	return text[:end], text[end:]
 }
 
-// writeList writes a list as a whole answer.
+// writeList writes a list as a complete answer with a Content-Length.
 func (c *Call) writeList(list List) {
 	text, err := json.Marshal(list)
 	if err != nil {
@@ -170,19 +177,19 @@
 	c.Writer.Write(text)
 }
 
-// writeOpen sends a part of an answer that has no length: it is chunked.
+// writeChunked writes and flushes a part of an answer. The answer has no Content-Length, so it is chunked.
 func (c *Call) writeChunked(text []byte) {
 	c.Writer.Write(text)
 	http.NewResponseController(c.Writer).Flush()
 }
 
-// reset resets the connection of a call.
+// resetConn resets the connection of a call.
 func (c *Call) resetConn() {
 	conn, _, err := http.NewResponseController(c.Writer).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler)
 	}
-	if tcp, is := conn.(*net.TCPConn); is {
+	if tcp, ok := conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 	}
 	conn.Close()
--- a/internal/standin/history.go
+++ b/internal/standin/history.go
@@ -12,32 +12,33 @@
 )
 
 const (
-	// firstVersion is the version that replicas give to the beginning of a history, and restartVersion the
-	// one that they give to its present state when their counter starts anew.
+	// versionBase is the number from which a replica with offset 0 counts its versions: it gives the first
+	// revision of a history version 101. restartVersion is the version that a replica gives to the current
+	// revision when its versions restart.
 	versionBase    = 100
 	restartVersion = 20
 )
 
-// revision is one state of a history: the lines that it changed, and since when it holds.
+// revision is one change of a history: the entries that it changed, and its time.
 type revision struct {
 	madeAt  time.Time
 	entries []Entry
 }
 
-// History is the sequence of changes of a server list. Replicas serve it, each as it was some time ago. It
-// is safe for concurrent use.
+// History is the sequence of changes of a server list. Replicas serve it, each with its own lag. It is safe
+// for concurrent use.
 type History struct {
 	mu        sync.Mutex
 	revisions []revision
-	changed   chan struct{} // closed and replaced at each change
+	changed   chan struct{} // channel that is closed and replaced at each change
 }
 
-// NewHistory begins a history with the given lines.
+// NewHistory returns a history whose first revision has the given entries.
 func NewHistory(entries []Entry) *History {
 	return &History{revisions: []revision{{madeAt: time.Now(), entries: entries}}, changed: make(chan struct{})}
 }
 
-// Change puts lines in place as one revision.
+// Change adds or replaces entries as one new revision.
 func (h *History) Change(entries ...Entry) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -46,22 +47,22 @@
 	h.changed = make(chan struct{})
 }
 
-// Line gives the present line of a server.
+// Entry returns the current entry of a server.
 func (h *History) Entry(uid string) Entry {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.changedEntries(len(h.revisions), 0)[uid]
 }
 
-// latest is the number of revisions.
+// revisionCount returns the number of revisions.
 func (h *History) revisionCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.revisions)
 }
 
-// visible gives the number of revisions that a replica has that lags by some time, when it gets the next
-// one (zero: none is there), and what is closed when there is a change.
+// visibleRevisions returns the number of revisions that a replica with the given lag has, the time at which
+// it gets the next one (zero if there is none), and a channel that is closed when the history changes.
 func (h *History) visibleRevisions(lag time.Duration) (count int, nextAt time.Time, changed <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -76,7 +77,8 @@
 	return count, nextAt, h.changed
 }
 
-// state gives the lines that were changed after a revision up to another one. The lock is held.
+// changedEntries returns the latest entry, by UID, of each server that changed after one revision and up to
+// another one. The caller holds h.mu.
 func (h *History) changedEntries(upTo, after int) map[string]Entry {
 	entries := map[string]Entry{}
 	for _, r := range h.revisions[min(after, upTo):upTo] {
@@ -87,7 +89,8 @@
 	return entries
 }
 
-// targets gives the lines of a whole list, or of the changes after a revision, sorted by uid.
+// listEntries returns the entries of the whole list, or of the changes after a revision greater than 0,
+// sorted by UID.
 func (h *History) listEntries(upTo, after int) []Entry {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -101,17 +104,17 @@
 	return entries
 }
 
-// StaleKind says what stale calls to a replica are answered from.
+// StaleKind says with what state a replica answers stale calls.
 type StaleKind int
 
-// What stale calls are answered from.
+// The states with which stale calls are answered.
 const (
-	StaleReplica StaleKind = iota // a second replica that lags: its watches wait for its own news
-	StaleList                     // a whole list from before, also to a watch that is told of news
+	StaleReplica StaleKind = iota // state of a second, lagging replica, whose changes watches wait for
+	StaleList                     // earlier whole list, also for a watch after a change
 )
 
-// Stale says which calls to a replica are stale, and by how much: Count in a row of each Of. The zero value
-// has none be so.
+// StalePattern says which calls to a replica are stale and by how much: Count in a row out of every Period
+// calls. With the zero value no call is stale.
 type StalePattern struct {
 	Kind   StaleKind
 	Lag    time.Duration
@@ -119,29 +122,29 @@
 	Period int
 }
 
-// strikes tells whether a call is stale.
+// isStale reports whether the call with the given number is stale.
 func (s StalePattern) isStale(call int) bool { return s.Period > 0 && call%s.Period < s.Count }
 
-// Replica is a discovery service that serves a history as it was some time ago. It speaks the published
-// protocol. It is safe for concurrent use.
+// Replica is a discovery service that serves a history with a lag. It speaks the published protocol and is
+// safe for concurrent use.
 type Replica struct {
 	history  *History
 	server   *httptest.Server
 	lag      time.Duration
-	observer AnswerObserver // nil: none
+	observer AnswerObserver // receiver of reports; nil: none
 
 	mu              sync.Mutex
-	versionOffset   int // of its versions from the numbers of the history
-	versionRestarts int // how often its versions started anew
+	versionOffset   int // difference between the replica's versions and the revision numbers of the history
+	versionRestarts int // number of restarts of the versions
 	stalePattern    StalePattern
 	framing         Framing
-	fault           Fault         // nil: none
-	faultChanged    chan struct{} // closed and replaced when the fault changes
+	fault           Fault         // fault that applies to calls; nil: none
+	faultChanged    chan struct{} // channel that is closed and replaced when the fault changes
 	callCount       int
 }
 
-// NewReplica starts a replica on loopback whose versions are apart from those of others by offset. Close
-// ends it. The observer, if there is one, is told what it writes.
+// NewReplica starts a replica on loopback. Its versions are greater by offset than those of a replica with
+// offset 0. The observer, if it is not nil, receives reports of what the replica writes. Close stops it.
 func (h *History) NewReplica(lag time.Duration, offset int, observer AnswerObserver) *Replica {
 	r := &Replica{
 		history: h, lag: lag, versionOffset: versionBase + offset, observer: observer, faultChanged: make(chan struct{}),
@@ -150,21 +153,21 @@
 	return r
 }
 
-// Addr is where it listens, as host:port.
+// Addr returns the replica's address as host:port.
 func (r *Replica) Addr() string { return r.server.Listener.Addr().String() }
 
-// Lag is the time by which it lags behind its history.
+// Lag returns the time by which the replica lags behind its history.
 func (r *Replica) Lag() time.Duration { return r.lag }
 
-// Close ends the service and all its connections.
+// Close stops the replica and closes its connections.
 func (r *Replica) Close() {
 	r.SetFault(nil)
 	r.server.CloseClientConnections()
 	r.server.Close()
 }
 
-// SetFault sets what happens to calls that come from now on; nil: they are answered. Faults that wait for
-// the next change of the fault end their waiting.
+// SetFault sets the fault that applies to open watches and to calls that arrive from now on; nil answers
+// them. Faults that wait for the next change of the fault stop waiting.
 func (r *Replica) SetFault(fault Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -173,21 +176,21 @@
 	r.faultChanged = make(chan struct{})
 }
 
-// SetFraming sets how answers are written from now on.
+// SetFraming sets the framing of the answers to calls that arrive from now on.
 func (r *Replica) SetFraming(framing Framing) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.framing = framing
 }
 
-// SetStale sets which calls that come from now on are stale.
+// SetStalePattern sets which of the calls that arrive from now on are stale.
 func (r *Replica) SetStalePattern(pattern StalePattern) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stalePattern = pattern
 }
 
-// Restart breaks all connections, and has the versions start anew: they go back.
+// Restart closes all connections and restarts the versions, which go back.
 func (r *Replica) Restart() {
 	latest := r.history.revisionCount()
 	r.mu.Lock()
@@ -197,7 +200,7 @@
 	r.server.CloseClientConnections()
 }
 
-// Known gives the whole list as the replica has it, as a configuration may hold it.
+// KnownList returns the whole list as the replica has it, in the form in which a configuration holds it.
 func (r *Replica) KnownList() List {
 	count, _, _ := r.history.visibleRevisions(r.lag)
 	r.mu.Lock()
@@ -210,11 +213,11 @@
 	replica       *Replica
 	request       *http.Request
 	answer        *Answer
-	stale         *StalePattern // nil: it is answered as it should be
+	stale         *StalePattern // pattern that makes the call stale; nil: it is not stale
 	versionOffset int
 }
 
-// ServeHTTP implements http.Handler. A fault strikes open watches as well as the calls that come after it.
+// ServeHTTP implements http.Handler. A fault applies to open watches as well as to calls that arrive later.
 func (r *Replica) ServeHTTP(w http.ResponseWriter, request *http.Request) {
 	r.mu.Lock()
 	r.callCount++
@@ -230,7 +233,7 @@
 	r.serve(call, &Call{Writer: writer, Request: request, framing: &framing})
 }
 
-// serve answers a call, or has a fault strike it.
+// serve answers a call, or has the current fault finish it.
 func (r *Replica) serve(call *replicaCall, discoveryCall *Call) {
 	discoveryCall.awaitAnswer = func() ([]byte, error) { return call.awaitAnswer(nil) }
 	if discoveryCall.faultChanged = r.applyFault(discoveryCall); discoveryCall.faultChanged == nil {
@@ -238,7 +241,7 @@
 	}
 	text, err := call.awaitAnswer(discoveryCall.faultChanged)
 	if r.applyFault(discoveryCall) == nil {
-		return // a fault has begun meanwhile
+		return // a fault was set while the call waited
 	}
 	if err != nil {
 		http.Error(discoveryCall.Writer, err.Error(), http.StatusBadRequest)
@@ -247,8 +250,8 @@
 	discoveryCall.write(text)
 }
 
-// strike has the present fault strike a call; nil once it is done with it. Where there is none it gives
-// what is closed when that changes.
+// applyFault has the current fault finish a call and returns nil. Without a fault it returns a channel that
+// is closed when the fault changes.
 func (r *Replica) applyFault(call *Call) <-chan struct{} {
 	r.mu.Lock()
 	fault, faultChanged := r.fault, r.faultChanged
@@ -261,7 +264,8 @@
 	return nil
 }
 
-// text waits for what the call asks for, or until the channel closes, and gives its text.
+// awaitAnswer returns the text that answers the call. For a watch it first waits for a change, until the
+// timeout of the watch or until the channel is closed.
 func (c *replicaCall) awaitAnswer(until <-chan struct{}) ([]byte, error) {
 	query := c.request.URL.Query()
 	if !query.Has("since") {
@@ -277,13 +281,13 @@
 	}
 	after := since - c.versionOffset
 	if after < 1 || after > c.replica.history.revisionCount() {
-		return c.encodeList(0) // of another counter of versions
+		return c.encodeList(0) // the replica has not given this version since its versions restarted
 	}
 	c.awaitChange(after, time.Duration(waitMs)*time.Millisecond, until)
 	return c.encodeList(after)
 }
 
-// lag is how old the state is whose news the call waits for.
+// lag returns the lag of the state whose changes the call waits for.
 func (c *replicaCall) lag() time.Duration {
 	if c.stale != nil && c.stale.Kind == StaleReplica {
 		return c.stale.Lag
@@ -291,7 +295,8 @@
 	return c.replica.lag
 }
 
-// await waits until there is something newer than a revision or the channel closes, for some time at most.
+// awaitChange waits until there is a revision after the given one, the wait is over, the channel is closed
+// or the caller disconnects.
 func (c *replicaCall) awaitChange(after int, wait time.Duration, until <-chan struct{}) {
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
@@ -306,7 +311,8 @@
 	}
 }
 
-// sleep waits for the next revision; false where the wait is over.
+// awaitNextRevision waits until the replica may have another revision. It returns false if the wait ends
+// before that.
 func (c *replicaCall) awaitNextRevision(nextAt time.Time, changed <-chan struct{}, timeout <-chan time.Time, until <-chan struct{}) bool {
 	var due <-chan time.Time
 	if !nextAt.IsZero() {
@@ -326,7 +332,7 @@
 	return false
 }
 
-// marshal gives the text of the changes after a revision; 0: of the whole list.
+// encodeList returns the text of the changes after a revision, or of the whole list for revision 0.
 func (c *replicaCall) encodeList(after int) ([]byte, error) {
 	lag := c.lag()
 	if c.stale != nil && c.stale.Kind == StaleList {
--- a/internal/standin/proxy.go
+++ b/internal/standin/proxy.go
@@ -9,31 +9,34 @@
 	"time"
 )
 
-// LinkFault is what a proxy does with the bytes of its connections.
+// LinkFault says what a proxy does to its connections and their bytes.
 type LinkFault int
 
-// The faults of a link.
+// The faults of the link that a proxy stands for.
 const (
-	LinkHealthy   LinkFault = iota // passes all on
-	LinkDelays                     // passes all on, late
-	LinkTrickles                   // byte by byte, with pauses
-	LinkTruncates                  // passes half of an answer on and resets
-	LinkCloses                     // passes an answer on and closes behind it
-	LinkResets                     // resets whatever says something or connects
-	LinkDropsData                  // takes everything and passes nothing on, as a machine that is cut off
+	LinkHealthy   LinkFault = iota // passes everything on
+	LinkDelays                     // passes everything on after linkDelay
+	LinkTrickles                   // passes everything on byte by byte, with trickleInterval between bytes
+	LinkTruncates                  // passes half of the server's next bytes on and resets the connection
+	LinkCloses                     // passes the server's next bytes on and closes the connection
+	LinkResets                     // resets all connections, open and new ones
+	LinkDropsData                  // reads everything and passes nothing on, as if the network were cut
 )
 
-var linkFaultNames = [...]string{"whole", "delays", "trickles", "cuts", "closes", "resets", "silent"}
+var linkFaultNames = [...]string{"healthy", "delays", "trickles", "truncates", "closes", "resets", "drops data"}
 
-// String names a fault.
+// String returns the name of a fault.
 func (f LinkFault) String() string { return linkFaultNames[f] }
 
 const (
+	// linkDelay is the delay of LinkDelays for each chunk of bytes, and trickleInterval the pause of
+	// LinkTrickles after each byte.
 	linkDelay       = 250 * time.Millisecond
 	trickleInterval = 2 * time.Millisecond
 )
 
-// Proxy stands between two parties on TCP and spoils what they say. It is safe for concurrent use.
+// Proxy forwards TCP connections to one address and injects faults into them. It is safe for concurrent
+// use.
 type Proxy struct {
 	listener   net.Listener
 	targetAddr string
@@ -43,7 +46,7 @@
 	conns map[net.Conn]struct{}
 }
 
-// NewProxy starts a proxy on loopback to an address. Close ends it.
+// NewProxy starts a proxy on loopback that forwards connections to an address. Close stops it.
 func NewProxy(targetAddr string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,10 +57,10 @@
 	return p, nil
 }
 
-// Addr is where it listens, as host:port.
+// Addr returns the proxy's address as host:port.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// Close ends the proxy and all that goes through it.
+// Close stops the proxy and closes its connections.
 func (p *Proxy) Close() {
 	p.listener.Close()
 	p.mu.Lock()
@@ -67,7 +70,7 @@
 	}
 }
 
-// Set sets what happens from now on; LinkResets breaks all that is open at once.
+// SetFault sets the fault that applies from now on. LinkResets resets all open connections at once.
 func (p *Proxy) SetFault(fault LinkFault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,6 +89,7 @@
 	return p.fault
 }
 
+// acceptConns accepts connections and forwards each of them in both directions, until the proxy is closed.
 func (p *Proxy) acceptConns() {
 	for {
 		client, err := p.listener.Accept()
@@ -117,19 +121,20 @@
 	}
 }
 
-// reset ends a connection with a reset.
+// resetConn closes a TCP connection with a reset.
 func resetConn(c net.Conn) {
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
-var errConnEnded = errors.New("the link is cut")
+// errConnEnded reports that the fault of a link ends a connection.
+var errConnEnded = errors.New("the fault of the link ends the connection")
 
-// pass copies one direction of a connection until it ends.
+// copyUnderFault copies one direction of a connection until it ends, under the current fault of the link.
 func (p *Proxy) copyUnderFault(from, to net.Conn, fromServer bool) {
 	defer from.Close()
 	defer to.Close()
-	dropsData := false // bytes of it were swallowed: it never says anything again
+	dropsData := false // once bytes have been dropped, nothing more is passed on
 	chunk := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(chunk)
@@ -150,26 +155,26 @@
 	}
 }
 
-// forward writes what came, under a fault.
-func forward(to io.Writer, chunk []byte, fault LinkFault, fromServer bool) error {
+// forward writes a chunk under a fault. It returns errConnEnded if the fault ends the connection.
+func forward(w io.Writer, chunk []byte, fault LinkFault, fromServer bool) error {
 	switch {
 	case fault == LinkResets:
 		return errConnEnded
 	case fault == LinkTruncates && fromServer:
-		to.Write(chunk[:len(chunk)/2])
+		w.Write(chunk[:len(chunk)/2])
 		return errConnEnded
 	case fault == LinkDelays:
 		time.Sleep(linkDelay)
 	case fault == LinkTrickles:
 		for i := range chunk {
-			if _, err := to.Write(chunk[i : i+1]); err != nil {
+			if _, err := w.Write(chunk[i : i+1]); err != nil {
 				return err
 			}
 			time.Sleep(trickleInterval)
 		}
 		return nil
 	}
-	_, err := to.Write(chunk)
+	_, err := w.Write(chunk)
 	if err == nil && fault == LinkCloses && fromServer {
 		return errConnEnded
 	}
--- a/internal/standin/replica.go
+++ b/internal/standin/replica.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// Frozen is the lag of a replica that never catches up.
+// NeverCatchesUp is the lag of a replica that copies no changes.
 const NeverCatchesUp time.Duration = -1
 
-// replica is a service that takes over the changes of another one late.
+// discoveryReplica is a service that copies the changes of another one after a lag.
 type discoveryReplica struct {
 	discovery *Discovery
 	lag       time.Duration
 }
 
-// NewReplica starts a service at an address of its own that begins with what another one has, under the
-// same version, and takes each change of that one over after a lag; Frozen: never. Close ends it.
+// NewDiscoveryReplica starts a service at an address of its own with the list and the version of another
+// service. It copies each later change of that service after a lag, or none with NeverCatchesUp. Close
+// stops it.
 func NewDiscoveryReplica(source *Discovery, lag time.Duration) *Discovery {
 	source.mu.Lock()
 	defer source.mu.Unlock()
@@ -28,7 +29,7 @@
 	return d
 }
 
-// replicate has the replicas take a version over. The lock is held.
+// replicate has the replicas copy a version after their lag. The caller holds d.mu.
 func (d *Discovery) replicate(version int64, entries []Entry) {
 	for _, r := range d.replicas {
 		if r.lag == NeverCatchesUp {
@@ -38,7 +39,7 @@
 	}
 }
 
-// apply puts lines in place as a version, unless a later one is there.
+// addIfNewer adds or replaces entries as a version, unless the service has reached that version.
 func (d *Discovery) addIfNewer(version int64, entries []Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -47,7 +48,8 @@
 	}
 }
 
-// Restart has the service count its versions anew, from 1, with other lines, as one that has lost its store.
+// Restart has the service begin again at version 1 with the given entries, like one that has lost its
+// store.
 func (d *Discovery) Restart(entries []Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -57,7 +59,8 @@
 	d.addVersion(1, entries)
 }
 
-// From has calls reach another service, such as a replica behind the same address.
+// AnsweredBy returns a fault that has another service answer the calls, such as a replica behind the same
+// address.
 func AnsweredBy(other *Discovery) Fault {
 	return func(c *Call) {
 		c.awaitAnswer = func() ([]byte, error) { return other.awaitAnswer(c.Request, nil) }
