--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Command wirehost hosts instances of the decision module on the simulator's
-// wire: batches of events on standard input, one reply each on standard output.
+// Command wirehost runs instances of the decision module for the simulator. It reads batches of events from
+// standard input and writes one reply to each batch to standard output.
 package main
 
 import (
@@ -15,14 +15,14 @@
 )
 
 func main() {
-	debug.SetGCPercent(800) // the live heap is small; collections are metered
+	debug.SetGCPercent(800) // the live heap is small, and garbage collections are metered
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "wirehost:", err)
 		os.Exit(1)
 	}
 }
 
-// run answers batches until the input ends.
+// run replies to batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	h := host{instances: map[uint16]*policy.Balancer{}}
 	reader, writer := wire.NewReader(in), bufio.NewWriterSize(out, 1<<16)
@@ -44,15 +44,16 @@
 	}
 }
 
-// host holds the instances; they share nothing but the reply's buffer.
+// host holds the instances of the decision module, by number. They share only the buffer of the reply.
 type host struct {
 	instances       map[uint16]*policy.Balancer
-	currentInstance uint16
-	hasInstance     bool
+	currentInstance uint16 // number of the instance that events go to
+	hasInstance     bool   // whether the batch has named an instance
 	reply           wire.Reply
 	event           wire.Event
 }
 
+// runBatch passes the events of a batch to their instances.
 func (h *host) runBatch(batch *wire.Batch) error {
 	h.hasInstance = false
 	for i := range batch.Count {
@@ -66,7 +67,7 @@
 			continue
 		}
 		if !h.hasInstance || (e.Code != wire.EventOpen && h.instances[h.currentInstance] == nil) {
-			return fmt.Errorf("%w: batch %d, record %d: event %d for an instance never opened",
+			return fmt.Errorf("%w: batch %d, record %d: event %d for an instance that is not open",
 				wire.ErrFormat, batch.Number, i, e.Code)
 		}
 		h.dispatchEvent(batch, e)
@@ -74,7 +75,8 @@
 	return nil
 }
 
-// handle passes one event on. A panic in the module is reported as fatal.
+// dispatchEvent passes one event to the current instance. It reports a panic of the module as a fatal
+// action.
 func (h *host) dispatchEvent(batch *wire.Batch, e *wire.Event) {
 	defer func() {
 		if panicValue := recover(); panicValue != nil {
@@ -103,6 +105,7 @@
 	}
 }
 
+// openInstance creates the current instance. It reports invalid settings as a fatal action.
 func (h *host) openInstance(e *wire.Event) {
 	settings, err := wire.ParseSettings(e.Settings)
 	if err != nil {
--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -14,7 +14,7 @@
 
 const testSettings = `{"Classes": [{"DeadlineMs": 1000, "Effect": "pure"}], "Limits": {"MaxAttempts": 2}}`
 
-// rec is an event record; its parts are written one after the other.
+// eventRecord builds an event record of the given parts, one after the other, and pads it to its size.
 func eventRecord(parts ...any) []byte {
 	var b bytes.Buffer
 	for _, p := range parts {
@@ -25,6 +25,7 @@
 	return append(b.Bytes(), make([]byte, 48-b.Len())...)
 }
 
+// batchFrame builds a batch with number 7 at 5,000 ms.
 func batchFrame(tail string, records ...[]byte) []byte {
 	var b bytes.Buffer
 	body := bytes.Join(records, nil)
@@ -43,7 +44,7 @@
 	return eventRecord(uint8(1), uint64(1), uint32(0), uint32(len(text)))
 }
 
-// codes lists the action codes of all replies.
+// actionCodes returns the action codes of all replies.
 func actionCodes(t *testing.T, out []byte) (all []byte) {
 	t.Helper()
 	for len(out) > 0 {
@@ -70,7 +71,7 @@
 		t.Fatal(err)
 	}
 	if got := actionCodes(t, out.Bytes()); !bytes.Equal(got, []byte{68, 66, 72}) {
-		t.Fatalf("action codes %v, want context, call_out, notify_me", got)
+		t.Fatalf("action codes %v, want context, send, set timer", got)
 	}
 }
 
@@ -82,7 +83,7 @@
 	}
 	if !bytes.Contains(out.Bytes(), []byte("Classes[0].Deadline")) ||
 		!bytes.Contains(actionCodes(t, out.Bytes()), []byte{77}) {
-		t.Fatalf("reply %q names no field", out.Bytes())
+		t.Fatalf("reply %q does not name the field or is not fatal", out.Bytes())
 	}
 }
 
@@ -100,7 +101,7 @@
 	}
 }
 
-// Guards against a panic of the module that takes the whole host down silently.
+// A panic of the module must not end the whole host without a report.
 func TestPanicIsReportedAsFatal(t *testing.T) {
 	h := host{instances: map[uint16]*policy.Balancer{4: nil}, currentInstance: 4}
 	h.reply.Reset()
@@ -112,6 +113,6 @@
 	}
 	if got := actionCodes(t, out.Bytes()); !bytes.Equal(got, []byte{68, 77}) ||
 		!bytes.Contains(out.Bytes(), []byte("panic")) {
-		t.Fatalf("action codes %v, want a context and fatal", got)
+		t.Fatalf("action codes %v, want context and fatal", got)
 	}
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -9,7 +9,7 @@
 	"otterstep/policy"
 )
 
-// ms reads a time in milliseconds; it stays at its default where a key is absent.
+// optionalMs is a time in milliseconds that the settings may leave out.
 type optionalMs struct {
 	duration time.Duration
 	isGiven  bool
@@ -25,12 +25,13 @@
 	}
 	d, ok := millisecondsToDuration(milliseconds)
 	if !ok {
-		return fmt.Errorf("time %v is too long", milliseconds)
+		return fmt.Errorf("time %v ms is out of range", milliseconds)
 	}
 	m.duration, m.isGiven = d, true
 	return nil
 }
 
+// orDefault returns the time, or the default where the settings leave it out.
 func (m optionalMs) orDefault(defaultValue time.Duration) time.Duration {
 	if m.isGiven {
 		return m.duration
@@ -38,6 +39,7 @@
 	return defaultValue
 }
 
+// settingsJSON is the JSON form of the settings. The names of its fields are the keys.
 type settingsJSON struct {
 	Accounts []struct {
 		Name      string
@@ -72,26 +74,27 @@
 	Zones          []string
 }
 
-// Site is what the settings say beyond the decisions: names as they stand on
-// sockets, in the order of their indices, and the times of connections.
+// NodeSettings holds all settings of a node that serves HTTP: those of its decision module, the names of
+// classes, tenants and zones as they appear in messages, in the order of their indices, and the timeouts of
+// connections.
 type NodeSettings struct {
 	Policy          policy.Settings
 	ClassNames      []string
 	TenantNames     []string
 	ZoneNames       []string
-	ConnIdleTimeout time.Duration // a server closes a connection that was idle for so long
+	ConnIdleTimeout time.Duration // time after which a server closes an idle connection
 	ConnectTimeout  time.Duration
 }
 
-// set replaces a default by what was given.
+// setIfGiven replaces a default by a value, unless that is nil.
 func setIfGiven[T any](target *T, value *T) {
 	if value != nil {
 		*target = *value
 	}
 }
 
-// ParseSettings reads an instance's settings. Unknown keys are skipped and
-// absent ones keep policy.Defaults; a class without an effect counts as unsafe.
+// ParseSettings parses the settings of a decision module. It ignores unknown keys; absent ones keep their
+// value of policy.Defaults. A class without an effect counts as non-idempotent.
 func ParseSettings(text []byte) (policy.Settings, error) {
 	var j settingsJSON
 	if err := json.Unmarshal(text, &j); err != nil {
@@ -100,7 +103,7 @@
 	return j.policySettings()
 }
 
-// ParseSite reads the same settings with what a node on sockets needs besides.
+// ParseNodeSettings parses the same settings, with the names and timeouts that a node needs to serve HTTP.
 func ParseNodeSettings(text []byte) (NodeSettings, error) {
 	var j settingsJSON
 	if err := json.Unmarshal(text, &j); err != nil {
@@ -117,7 +120,7 @@
 	}
 	for i, c := range j.Classes {
 		if c.Name == "" {
-			return NodeSettings{}, fmt.Errorf("settings: Classes[%d].Name: none given", i)
+			return NodeSettings{}, fmt.Errorf("settings: Classes[%d].Name: missing", i)
 		}
 		settings.ClassNames = append(settings.ClassNames, c.Name)
 	}
@@ -127,6 +130,7 @@
 	return settings, nil
 }
 
+// policySettings converts the settings to those of package policy.
 func (j *settingsJSON) policySettings() (policy.Settings, error) {
 	settings := policy.Defaults()
 	setIfGiven(&settings.NodeCount, j.Balancers)
@@ -149,7 +153,7 @@
 	settings.Rules.DrainGrace = j.Contract.DrainGraceMs.orDefault(settings.Rules.DrainGrace)
 	var ok bool
 	if settings.ListOnRequest, ok = lookUp(j.RegistryMode, map[string]bool{"": false, "pushed": false, "on_request": true}); !ok {
-		return settings, fmt.Errorf("settings: RegistryMode: unknown word %q", j.RegistryMode)
+		return settings, fmt.Errorf("settings: RegistryMode: unknown value %q", j.RegistryMode)
 	}
 	for i, classJSON := range j.Classes {
 		class := policy.Class{
@@ -158,10 +162,10 @@
 		}
 		setIfGiven(&class.Value, classJSON.Importance)
 		if class.Idempotency, ok = lookUp(classJSON.Effect, idempotencyByName); !ok {
-			return settings, fmt.Errorf("settings: Classes[%d].Effect: unknown word %q", i, classJSON.Effect)
+			return settings, fmt.Errorf("settings: Classes[%d].Effect: unknown value %q", i, classJSON.Effect)
 		}
 		if class.DedupScope, ok = lookUp(classJSON.DedupScope, dedupScopeByName); !ok {
-			return settings, fmt.Errorf("settings: Classes[%d].DedupScope: unknown word %q", i, classJSON.DedupScope)
+			return settings, fmt.Errorf("settings: Classes[%d].DedupScope: unknown value %q", i, classJSON.DedupScope)
 		}
 		settings.Classes = append(settings.Classes, class)
 	}
@@ -174,15 +178,17 @@
 	return settings, nil
 }
 
+// idempotencyByName has the values of Effect. An absent one means non-idempotent.
 var idempotencyByName = map[string]policy.Idempotency{
 	"pure": policy.Idempotent, "token": policy.IdempotentByKey, "side_effect": policy.NonIdempotent, "": policy.NonIdempotent,
 }
 
-// An absent scope is the narrowest.
+// dedupScopeByName has the values of DedupScope. An absent one means the narrowest scope.
 var dedupScopeByName = map[string]policy.DedupScope{
 	"all": policy.DedupAllServers, "zone": policy.DedupZone, "cell": policy.DedupCell, "": policy.DedupCell,
 }
 
+// lookUp returns the value of a name, and false if the name is unknown.
 func lookUp[T any](name string, values map[string]T) (T, bool) {
 	value, ok := values[name]
 	return value, ok
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,5 @@
-// Package wire reads and writes the frames of the simulator's binary wire. It
-// decides nothing: it turns event records into the types of package policy and
-// actions into records.
+// Package wire reads and writes the frames of the simulator's binary protocol, and parses the settings. It
+// converts event records to the types of package policy, and actions to records. It makes no decisions.
 package wire
 
 import (
@@ -15,7 +14,7 @@
 	"otterstep/policy"
 )
 
-// The sizes of a frame's parts, in bytes.
+// The sizes of a frame's parts.
 const (
 	batchHeaderBytes = 20
 	replyHeaderBytes = 12
@@ -25,10 +24,10 @@
 	maxBodyBytes     = 1 << 30
 )
 
-// Code tells what an event record is.
+// EventCode is the kind of an event record.
 type EventCode uint8
 
-// The events.
+// The codes of events.
 const (
 	EventOpen               EventCode = 1
 	EventListUpdated        EventCode = 2
@@ -43,7 +42,7 @@
 	EventInstance           EventCode = 11
 )
 
-// The actions.
+// The codes of actions.
 const (
 	actionCancel    = 65
 	actionSend      = 66
@@ -55,17 +54,17 @@
 	actionFatal     = 77
 )
 
-// ErrFormat is wrapped by every complaint about a malformed frame.
+// ErrFormat is wrapped by every error about a malformed frame.
 var ErrFormat = errors.New("malformed frame")
 
 // Batch is one frame of events. Its bytes are valid until the next Read.
 type Batch struct {
-	Now    time.Duration
+	Now    time.Duration // time on the simulator's clock
 	Number uint32
 	Count  int
 
 	records []byte
-	tail    []byte
+	tail    []byte // data of variable length, which records refer to by offset
 }
 
 // Reader reads batches.
@@ -76,10 +75,10 @@
 	batch  Batch
 }
 
-// NewReader reads batches from r.
+// NewReader returns a Reader of the batches in r.
 func NewReader(r io.Reader) *Reader { return &Reader{input: bufio.NewReaderSize(r, 1<<16)} }
 
-// Read returns the next batch. A clean end of input gives io.EOF.
+// Read returns the next batch, or io.EOF if the input ends after a complete one.
 func (r *Reader) Read() (*Batch, error) {
 	if n, err := io.ReadFull(r.input, r.header[:]); err != nil {
 		if n == 0 && errors.Is(err, io.EOF) {
@@ -99,7 +98,7 @@
 	}
 	now, ok := millisecondsToDuration(ms)
 	if !ok {
-		return nil, fmt.Errorf("%w: batch %d: clock %v", ErrFormat, r.batch.Number, ms)
+		return nil, fmt.Errorf("%w: batch %d: clock value %v ms is out of range", ErrFormat, r.batch.Number, ms)
 	}
 	r.batch.Now = now
 	r.batch.Count = int(count)
@@ -108,8 +107,8 @@
 	return &r.batch, nil
 }
 
-// fill reads size bytes into the body; memory grows with what has come in, not
-// with what a header claims.
+// readBody reads a body of size bytes. Memory grows with the bytes that have arrived, not with the size
+// that a header claims.
 func (r *Reader) readBody(size int) error {
 	const maxStep = 1 << 20
 	r.body = r.body[:0]
@@ -130,25 +129,28 @@
 	return nil
 }
 
-// Event is one record of a batch. Which fields count depends on Code.
+// Event is one record of a batch. Code determines which fields are valid.
 type Event struct {
-	Code       EventCode
-	Instance   uint16 // Instance
-	Seed       uint64 // Open
-	Settings   []byte // Open: JSON
-	ListKind   policy.ListKind
-	Entries    []policy.Entry // Members; valid until the next Event
-	Request    policy.Request
-	Outcome    policy.Outcome // Outcome, Started (ID, Attempt), Left (ID)
-	TimerToken uint64         // Timer
+	Code     EventCode
+	Instance uint16          // number of the instance that the next events are for (EventInstance)
+	Seed     uint64          // seed of the random choices (EventOpen)
+	Settings []byte          // settings as JSON (EventOpen)
+	ListKind policy.ListKind // kind of the list (EventListUpdated)
+	Entries  []policy.Entry  // servers of the list (EventListUpdated); valid until the next DecodeEvent
+	Request  policy.Request  // request of a client (EventRequestArrived)
+	// Outcome is the outcome of an attempt (EventAttemptEnded). EventStreamStarted sets only its ID, Attempt
+	// and Server, and EventClientDisconnected only its ID.
+	Outcome    policy.Outcome
+	TimerToken uint64 // token of SetTimer (EventTimerFired)
 }
 
+// statusByCode has the outcomes of attempts by the simulator's status codes.
 var statusByCode = map[uint16]policy.Status{
 	200: policy.OK, 502: policy.ServerError, 429: policy.Rejected, 408: policy.Timeout,
 	521: policy.ConnectFailed, 520: policy.ConnectionReset, 444: policy.Cancelled, 409: policy.NotSent,
 }
 
-// Event decodes record i of the batch into e.
+// DecodeEvent decodes record i of the batch into e.
 func (b *Batch) DecodeEvent(i int, e *Event) error {
 	rec := b.records[i*eventBytes : (i+1)*eventBytes]
 	u16 := func(offset int) uint16 { return binary.BigEndian.Uint16(rec[offset:]) }
@@ -166,24 +168,24 @@
 		e.Seed = u64(1)
 		text, ok := b.tailItems(u32(9), u32(13), 1)
 		if !ok {
-			return fail("settings out of the tail:", u32(9))
+			return fail("settings outside of the tail, at offset", u32(9))
 		}
 		e.Settings = text
 	case EventListUpdated:
 		if rec[1] > uint8(policy.ListFailed) {
-			return fail("list kind", rec[1])
+			return fail("unknown list kind", rec[1])
 		}
 		e.ListKind = policy.ListKind(rec[1])
 		raw, ok := b.tailItems(u32(10), u32(14), entryBytes)
 		if !ok {
-			return fail("entries out of the tail:", u32(10))
+			return fail("entries outside of the tail, at offset", u32(10))
 		}
 		return decodeEntries(e, raw, fail)
 	case EventRequestArrived:
 		timeLeft, ok1 := millisecondsToDuration(f64(16))
 		workHint, ok2 := millisecondsToDuration(f64(24))
 		if !ok1 || !ok2 {
-			return fail("time of a query:", f64(16))
+			return fail("time left or work hint of a request is out of range; time left in ms:", f64(16))
 		}
 		if rec[32]&1 == 0 {
 			workHint = 0
@@ -196,11 +198,11 @@
 	case EventAttemptEnded:
 		status, ok := statusByCode[u16(5)]
 		if !ok {
-			return fail("status", u16(5))
+			return fail("unknown status", u16(5))
 		}
 		latency, ok := millisecondsToDuration(f64(16))
 		if !ok {
-			return fail("latency", f64(16))
+			return fail("latency in ms is out of range:", f64(16))
 		}
 		e.Outcome = policy.Outcome{
 			ID: policy.RequestID(u32(1)), Status: status, RequestDone: rec[7] != 0,
@@ -212,7 +214,7 @@
 		e.TimerToken = u64(1)
 	case EventPeerMessage:
 		if _, ok := b.tailItems(u32(5), u32(9), 1); !ok {
-			return fail("message out of the tail:", u32(5))
+			return fail("message outside of the tail, at offset", u32(5))
 		}
 	case EventProbed, EventStop:
 	default:
@@ -221,16 +223,17 @@
 	return nil
 }
 
+// decodeEntries decodes the entries of a list into e.
 func decodeEntries(e *Event, raw []byte, fail func(string, any) error) error {
 	e.Entries = e.Entries[:0]
 	for ; len(raw) > 0; raw = raw[entryBytes:] {
 		if raw[12] > uint8(policy.StateDraining) {
-			return fail("server state", raw[12])
+			return fail("unknown server state", raw[12])
 		}
 		weight := float64(math.Float32frombits(binary.BigEndian.Uint32(raw[13:])))
 		startedAt, ok := millisecondsToDuration(math.Float64frombits(binary.BigEndian.Uint64(raw[17:])))
 		if !ok || !(weight >= 0) || math.IsInf(weight, 1) {
-			return fail("server weight or start:", weight)
+			return fail("weight or start of a server is out of range; weight:", weight)
 		}
 		e.Entries = append(e.Entries, policy.Entry{
 			Server: serverID(raw), Zone: int(binary.BigEndian.Uint16(raw[6:])),
@@ -240,7 +243,8 @@
 	return nil
 }
 
-// slice gives count items of the tail.
+// tailItems returns count items of the given size in bytes, from an offset of the tail on. It returns false
+// if they exceed the tail.
 func (b *Batch) tailItems(offset, count uint32, size uint64) ([]byte, bool) {
 	end := uint64(offset) + uint64(count)*size
 	if end > uint64(len(b.tail)) {
@@ -249,12 +253,13 @@
 	return b.tail[offset:end], true
 }
 
+// serverID decodes a server ID of 6 bytes.
 func serverID(b []byte) policy.ServerID {
 	return policy.ServerID(uint64(binary.BigEndian.Uint32(b))<<16 | uint64(binary.BigEndian.Uint16(b[4:])))
 }
 
-// duration turns milliseconds into a Duration, unless they are no number or
-// too many for one.
+// millisecondsToDuration converts milliseconds to a Duration. It returns false if they are NaN or out of
+// range.
 func millisecondsToDuration(ms float64) (time.Duration, bool) {
 	const limit = float64(math.MaxInt64) / 4 / float64(time.Millisecond)
 	if !(ms > -limit && ms < limit) {
@@ -267,11 +272,11 @@
 
 // Reply collects the actions of one batch.
 type Reply struct {
-	frame           []byte
-	tail            []byte
+	frame           []byte // header and action records
+	tail            []byte // data of variable length, which records refer to by offset
 	recordCount     uint32
-	contextInstance int // instance of the last context record; -1: none
-	instance        uint16
+	contextInstance int    // instance of the last context record; -1: none
+	instance        uint16 // instance that the next actions belong to
 }
 
 // Reset starts a new reply.
@@ -285,10 +290,10 @@
 	r.contextInstance = -1
 }
 
-// For names the instance that the actions from here on belong to.
+// SetInstance sets the instance that the following actions belong to.
 func (r *Reply) SetInstance(instance uint16) { r.instance = instance }
 
-// record appends an action record, preceded by its context where that changes.
+// appendAction appends an action record, preceded by a context record if the instance has changed.
 func (r *Reply) appendAction(code byte) []byte {
 	if r.contextInstance != int(r.instance) {
 		r.contextInstance = int(r.instance)
@@ -297,6 +302,7 @@
 	return r.append(code)
 }
 
+// append appends an empty action record with a code.
 func (r *Reply) append(code byte) []byte {
 	var blank [actionBytes]byte
 	r.frame = append(r.frame, blank[:]...)
@@ -306,6 +312,7 @@
 	return rec
 }
 
+// appendRequestAction appends an action record with the ID of its request.
 func (r *Reply) appendRequestAction(code byte, id policy.RequestID) []byte {
 	rec := r.appendAction(code)
 	binary.BigEndian.PutUint32(rec[1:], uint32(id))
@@ -317,7 +324,7 @@
 	rec := r.appendRequestAction(actionSend, id)
 	binary.BigEndian.PutUint32(rec[5:], uint32(server>>16))
 	binary.BigEndian.PutUint16(rec[9:], uint16(server))
-	putMs(rec[11:], timeout)
+	putMilliseconds(rec[11:], timeout)
 }
 
 // Cancel implements policy.Host.
@@ -325,17 +332,17 @@
 	binary.BigEndian.PutUint16(r.appendRequestAction(actionCancel, id)[5:], uint16(attempt))
 }
 
-// Withdraw implements policy.Host. The simulator's attempts begin as they are sent: there is
-// nothing to take back.
+// CancelUnsent implements policy.Host. It does nothing: the simulator's attempts begin as they are sent, so
+// that none is unsent.
 func (r *Reply) CancelUnsent(policy.RequestID, int) {}
 
-// WriteBy implements policy.Host. The simulator's attempts count as written as they are sent:
-// none is late.
+// SetWriteDeadline implements policy.Host. It does nothing: the simulator's attempts count as written when
+// they are sent, so that none is late.
 func (r *Reply) SetWriteDeadline(policy.RequestID, time.Duration) {}
 
 // Refuse implements policy.Host.
 func (r *Reply) Refuse(id policy.RequestID, retryAfter time.Duration, _ policy.Reason) {
-	putMs(r.appendRequestAction(actionRefuse, id)[5:], retryAfter)
+	putMilliseconds(r.appendRequestAction(actionRefuse, id)[5:], retryAfter)
 }
 
 // Fail implements policy.Host.
@@ -344,20 +351,20 @@
 // SetTimer implements policy.Host.
 func (r *Reply) SetTimer(at time.Duration, token uint64) {
 	rec := r.appendAction(actionSetTimer)
-	putMs(rec[1:], at)
+	putMilliseconds(rec[1:], at)
 	binary.BigEndian.PutUint64(rec[9:], token)
 }
 
-// Ready implements policy.Host. The simulator's instances serve from their start.
+// MarkReady implements policy.Host. It does nothing: the simulator's instances serve from their start.
 func (r *Reply) MarkReady() {}
 
-// CallList implements policy.Host.
+// StartCall implements policy.Host.
 func (r *Reply) StartCall(policy.Call) { r.appendAction(actionStartCall)[1] = 1 }
 
-// EndCall implements policy.Host. A subscription is not ended.
+// CancelCall implements policy.Host. It does nothing: the simulator's subscriptions are never cancelled.
 func (r *Reply) CancelCall(policy.CallID) {}
 
-// Fatal says that the decision code has failed.
+// Fatal reports that the decision module has failed.
 func (r *Reply) Fatal(text string) {
 	rec := r.appendAction(actionFatal)
 	binary.BigEndian.PutUint32(rec[1:], uint32(len(r.tail)))
@@ -365,7 +372,7 @@
 	r.tail = append(r.tail, text...)
 }
 
-// WriteTo writes the reply to the given batch.
+// WriteTo writes the reply to the batch with the given number.
 func (r *Reply) WriteTo(w *bufio.Writer, batch uint32) error {
 	binary.BigEndian.PutUint32(r.frame[0:], r.recordCount)
 	binary.BigEndian.PutUint32(r.frame[4:], uint32(len(r.frame)-replyHeaderBytes+len(r.tail)))
@@ -382,6 +389,6 @@
 	return nil
 }
 
-func putMs(b []byte, d time.Duration) {
+func putMilliseconds(b []byte, d time.Duration) {
 	binary.BigEndian.PutUint64(b, math.Float64bits(durationToMilliseconds(d)))
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -24,13 +24,13 @@
 	return raw
 }
 
-// record pads an event record to its size.
+// eventRecord decodes an event record and pads it to its size.
 func eventRecord(t testing.TB, text string) []byte {
 	raw := decodeHex(t, text)
 	return append(raw, make([]byte, eventBytes-len(raw))...)
 }
 
-// frame builds a batch at 8,500 ms with number 12.
+// batchFrame builds a batch with number 12 at 8,500 ms.
 func batchFrame(count int, records, tail []byte) []byte {
 	head := make([]byte, batchHeaderBytes)
 	binary.BigEndian.PutUint32(head[0:], uint32(len(records)+len(tail)))
@@ -101,7 +101,7 @@
 	}
 	if events[5].Outcome.ID != 0x0e6f2b19 || events[6].Outcome.Attempt != 2 ||
 		events[6].Outcome.Server != server {
-		t.Errorf("left %+v, started %+v", events[5].Outcome, events[6].Outcome)
+		t.Errorf("client disconnected %+v, stream started %+v", events[5].Outcome, events[6].Outcome)
 	}
 }
 
@@ -136,7 +136,7 @@
 	}
 }
 
-// Each malformed frame must give one plain error with its batch, and no panic.
+// malformed holds frames that must give a one-line error with the number of the batch, and no panic.
 var malformed = map[string]func(testing.TB) []byte{
 	"truncated header":    func(testing.TB) []byte { return batchFrame(0, nil, nil)[:7] },
 	"truncated body":      func(t testing.TB) []byte { return batchFrame(1, eventRecord(t, "0b 0003"), nil)[:40] },
@@ -146,10 +146,10 @@
 		return batchFrame(9, eventRecord(t, "0b 0003"), nil)
 	},
 	"unknown event": func(t testing.TB) []byte { return batchFrame(1, eventRecord(t, "63"), nil) },
-	"settings out of the tail": func(t testing.TB) []byte {
+	"settings outside of the tail": func(t testing.TB) []byte {
 		return batchFrame(1, eventRecord(t, "01 0000000000000001 00000000 00000009"), []byte("{}"))
 	},
-	"entries out of the tail": func(t testing.TB) []byte {
+	"entries outside of the tail": func(t testing.TB) []byte {
 		return batchFrame(1, eventRecord(t, "02 01 0000000000000001 fffffff0 ffffffff"), nil)
 	},
 	"unknown list kind": func(t testing.TB) []byte { return batchFrame(1, eventRecord(t, "02 09"), nil) },
@@ -160,7 +160,7 @@
 	"time left not finite": func(t testing.TB) []byte {
 		return batchFrame(1, eventRecord(t, "03 5d3a91c4 00 0000 91f03b7c55d20a64 7ff0000000000000"), nil)
 	},
-	"message out of the tail": func(t testing.TB) []byte {
+	"message outside of the tail": func(t testing.TB) []byte {
 		return batchFrame(1, eventRecord(t, "09 00000002 00000000 00000004"), nil)
 	},
 	"clock not a number": func(testing.TB) []byte { f := batchFrame(0, nil, nil); f[4], f[5] = 0x7f, 0xf8; return f },
@@ -232,15 +232,15 @@
 	}
 }
 
-// A node that is not told its number must not pass for the first one: all such nodes would work
-// with the same servers.
+// A node without an index in its settings must not count as the first one: all such nodes would choose the
+// same servers.
 func TestNodeWithoutAnIndexGetsNone(t *testing.T) {
 	settings, err := ParseSettings([]byte(`{"Balancers": 300, "Classes": [{"DeadlineMs": 100}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if settings.NodeCount != 300 || settings.NodeIndex >= 0 {
-		t.Errorf("node %d of %d, want none", settings.NodeIndex, settings.NodeCount)
+		t.Errorf("node index %d of %d nodes, want none", settings.NodeIndex, settings.NodeCount)
 	}
 }
 
