--- a/internal/permutation/permutation.go
+++ b/internal/permutation/permutation.go
@@ -1,14 +1,14 @@
-// Package permutation gives pseudo-random orders of the numbers below n one place at a time, with
-// nothing held in memory: what consistent hashing over numbered nodes needs.
+// Package permutation computes pseudo-random permutations of the numbers below n one position at a time,
+// without storing them, as consistent hashing over numbered nodes needs.
 package permutation
 
 import "math/rand/v2"
 
-// Position gives the place, from 0 to n-1, of the number i in the order of 0..n-1 that seed
-// stands for. For one seed and n, different i below n have different places. It panics if n is 0.
+// Position returns the position, from 0 to n-1, of the number i in the permutation of 0..n-1 that seed
+// determines. For one seed and n, different i below n have different positions. It panics if n is 0.
 //
-// The order is the affine map i -> stride*i + offset modulo n, its stride prime to n and both drawn
-// by a PCG generator from seed and n.
+// The permutation is the affine map i -> stride*i + offset modulo n, where stride is coprime to n. A PCG
+// generator draws both from seed and n.
 func Position(seed uint64, i, n uint32) uint32 {
 	var random rand.PCG
 	random.Seed(seed, uint64(n))
--- a/internal/permutation/permutation_test.go
+++ b/internal/permutation/permutation_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Each number has one place, and each place one number.
+// Each number must have one position, and each position one number.
 func TestPositionsArePermutations(t *testing.T) {
 	for _, n := range []uint32{1, 2, 3, 12, 300, 307, 5300} {
 		for seed := range uint64(20) {
@@ -10,7 +10,7 @@
 			for i := range n {
 				position := Position(seed, i, n)
 				if position >= n || seen[position] {
-					t.Fatalf("n %d, seed %d: place %d of %d is outside or taken", n, seed, position, i)
+					t.Fatalf("n %d, seed %d: position %d of %d is out of range or taken", n, seed, position, i)
 				}
 				seen[position] = true
 			}
@@ -18,7 +18,8 @@
 	}
 }
 
-// A number is as often among the first as any other, and seeds are independent of one another.
+// All numbers must be equally often among the first positions, and neighbouring seeds must be independent
+// of each other.
 func TestFirstPositionsAreUniform(t *testing.T) {
 	const n, firstPositions, seeds = 300, 30, 20000
 	inBothOrders := 0
@@ -37,6 +38,6 @@
 		}
 	}
 	if want := seeds * firstPositions * firstPositions / n; inBothOrders < want*9/10 || inBothOrders > want*11/10 {
-		t.Errorf("%d pairs of neighbouring seeds agree, want about %d", inBothOrders, want)
+		t.Errorf("%d times a number is among the first positions for two neighbouring seeds, want about %d", inBothOrders, want)
 	}
 }
--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -46,7 +46,7 @@
 		t.Errorf("rate %v after 20 s of 50 a second", rate)
 	}
 	if rate := m.PerSecond(now + 20*time.Second); rate > 2 {
-		t.Errorf("rate %v after 20 s of nothing", rate)
+		t.Errorf("rate %v after 20 s without amounts", rate)
 	}
 }
 
@@ -72,7 +72,7 @@
 		return n
 	}
 	if n := countTaken(time.Hour); n != 5 {
-		t.Errorf("%d tokens after a long rest, want 5", n)
+		t.Errorf("%d tokens after a long pause, want 5", n)
 	}
 	if n := countTaken(time.Hour + 400*time.Millisecond); n != 2 {
 		t.Errorf("%d tokens 0.4 s later, want 2", n)
--- a/internal/stats/window.go
+++ b/internal/stats/window.go
@@ -1,10 +1,10 @@
-// Package stats has the running statistics that a load balancer keeps: the latest outcomes of a
-// server and decaying rates. Time is passed in, as an offset from any fixed moment.
+// Package stats provides the running statistics of a load balancer: the latest outcomes of a server, means,
+// decaying rates and token buckets. Callers pass the time, as an offset from any fixed moment.
 package stats
 
 import "time"
 
-// windowSize is how many outcomes a Window holds at most.
+// windowSize is the maximum number of outcomes that a Window holds.
 const windowSize = 100
 
 type outcome struct {
@@ -13,17 +13,17 @@
 	latency float64
 }
 
-// Window sums up the latest outcomes of a server, 100 at most. The zero value is empty.
+// Window sums up the latest outcomes of a server, at most 100. The zero value is empty.
 type Window struct {
-	Count      int     // outcomes held
-	Successes  int     // of these
-	LatencySum float64 // of the successes, in the unit of Add
+	Count      int     // number of outcomes held
+	Successes  int     // number of successes among the outcomes
+	LatencySum float64 // sum of the latencies of the successes, in the unit of Add
 
 	ring      [windowSize]outcome
-	nextIndex int // place of the next outcome in ring
+	nextIndex int // index of the next outcome in ring
 }
 
-// Add takes in an outcome, which takes the place of the oldest one where the window is full.
+// Add adds an outcome. It replaces the oldest one if the window is full.
 func (w *Window) Add(at time.Duration, success bool, latency float64) {
 	if w.Count == windowSize {
 		w.subtract(&w.ring[w.nextIndex])
@@ -37,7 +37,7 @@
 	}
 }
 
-// Expire drops the outcomes from before a time or at it.
+// Expire removes the outcomes at or before a time.
 func (w *Window) Expire(until time.Duration) {
 	for w.Count > 0 {
 		oldest := &w.ring[(w.nextIndex+windowSize-w.Count)%windowSize]
@@ -48,6 +48,7 @@
 	}
 }
 
+// subtract takes an outcome out of the counts and the sum.
 func (w *Window) subtract(removed *outcome) {
 	w.Count--
 	if removed.success {
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -1,17 +1,17 @@
-// Package table has a map whose entries lie side by side in memory, for large sets of small entries
-// that are walked often.
+// Package table provides a map whose entries are contiguous in memory, for large sets of small entries that
+// are iterated over often.
 package table
 
-// Table maps keys to entries. Walking Entries gives them in the order in which they were
-// added, as long as none was removed. Create it with New.
+// Table maps keys to entries. Entries holds them in the order of their insertion as long as none was
+// removed. Create a Table with New.
 type Table[K comparable, V any] struct {
-	Entries []V // not to be appended to or reordered
+	Entries []V // all entries, which callers must not reorder or append to
 
 	keyOf      func(V) K
 	indexByKey map[K]int32
 }
 
-// New makes a table of entries that tell their own keys.
+// New returns an empty table whose entries have the keys that keyOf returns.
 func New[K comparable, V any](keyOf func(V) K) Table[K, V] {
 	return Table[K, V]{keyOf: keyOf, indexByKey: map[K]int32{}}
 }
@@ -23,7 +23,7 @@
 	clear(t.indexByKey)
 }
 
-// Get gives the entry of a key; false where there is none.
+// Get returns the entry of a key, and false if there is none.
 func (t *Table[K, V]) Get(key K) (entry V, ok bool) {
 	index, ok := t.indexByKey[key]
 	if ok {
@@ -32,7 +32,7 @@
 	return entry, ok
 }
 
-// Put adds an entry or replaces the one of the same key.
+// Put adds an entry or replaces the one with the same key.
 func (t *Table[K, V]) Put(entry V) {
 	key := t.keyOf(entry)
 	if index, ok := t.indexByKey[key]; ok {
@@ -43,7 +43,7 @@
 	t.Entries = append(t.Entries, entry)
 }
 
-// Remove removes the entry of a key, if there is one; the last entry takes its place.
+// Remove removes the entry of a key, if there is one. The last entry moves to its index.
 func (t *Table[K, V]) Remove(key K) {
 	index, ok := t.indexByKey[key]
 	if !ok {
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -7,7 +7,7 @@
 
 type entry struct{ key, value int }
 
-// A table says the same as a plain map through any order of changes.
+// A table must agree with a plain map after any sequence of changes.
 func TestTableAgreesWithAMap(t *testing.T) {
 	table := New(func(e entry) int { return e.key })
 	want := map[int]int{}
