--- a/cmd/otterstep/soak_judge_test.go
+++ b/cmd/otterstep/soak_checker_test.go
@@ -8,69 +8,70 @@
 	"otterstep/internal/standin"
 )
 
-// The soak's judge has to see what it is there for.
+// The checker has to see sends to a server that drains, from the time at which the node has to know of the drain,
+// which an outage postpones and a reload brings forward.
 func TestSoakCheckerSeesSendsToDrainingServers(t *testing.T) {
 	env := &soakEnvironment{t: t, configured: &soakAddress{}}
 	at := time.Now()
 	env.recordChange("s-0", standin.Terminating, at)
 	afterGrace := at.Add(maxListAge + drainGrace + soakSchedulingSlack + time.Millisecond)
 	if !env.maySendTo("s-0", afterGrace.Add(-2*time.Millisecond)) || env.maySendTo("s-0", afterGrace) {
-		t.Error("a server that drains may be sent to up to the grace after it counts as told, and no longer")
+		t.Error("a draining server may be sent to until the drain grace after the notice deadline, and no longer")
 	}
 	env.recordOutageStart(at.Add(time.Second))
 	if !env.maySendTo("s-0", afterGrace.Add(time.Hour)) {
-		t.Error("nothing counts as told during an outage")
+		t.Error("during an outage the node need not know the change")
 	}
 	env.recordOutageEnd(at.Add(4 * time.Second))
 	if !env.maySendTo("s-0", afterGrace) || env.maySendTo("s-0", afterGrace.Add(4*time.Second)) {
-		t.Error("an outage makes it count as told later")
+		t.Error("an outage postpones the notice deadline")
 	}
 	env.recordReload(at)
 	if env.maySendTo("s-0", at.Add(maxAddressChangeDelay+drainGrace+soakSchedulingSlack+time.Millisecond)) {
-		t.Error("a reload makes it count as told sooner")
+		t.Error("a reload brings the notice deadline forward")
 	}
 	env.recordChange("s-0", standin.InService, time.Now())
 	if !env.maySendTo("s-0", afterGrace.Add(time.Hour)) || !slices.ContainsFunc(env.changes, func(change soakChange) bool { return change.state == standin.InService }) {
-		t.Error("a server that is back may be sent to")
+		t.Error("a server that is back in service may be sent to")
 	}
 }
 
-// What an agent has counts as told at once, and what it has at its return then.
+// In pushed mode a node has to know at once what its agent has, and after an outage what the agent has at its return.
 func TestSoakCheckerSeesSendsAfterAnAgentHasTheChange(t *testing.T) {
 	env := &soakEnvironment{t: t, isPushed: true, configured: &soakAddress{}}
 	at := time.Now()
 	env.recordChange("s-0", standin.Terminating, at)
 	afterGrace := at.Add(drainGrace + soakSchedulingSlack + time.Millisecond)
 	if !env.maySendTo("s-0", afterGrace.Add(-2*time.Millisecond)) || env.maySendTo("s-0", afterGrace) {
-		t.Error("a server that drains may be sent to up to the grace after an agent has it, and no longer")
+		t.Error("a draining server may be sent to until the drain grace after the agent has the change, and no longer")
 	}
 	env.recordOutageStart(at)
 	if !env.maySendTo("s-0", afterGrace.Add(time.Hour)) {
-		t.Error("nothing counts as told while an agent is silent")
+		t.Error("during an outage of the agent the node need not know the change")
 	}
 	env.recordOutageEnd(at.Add(time.Minute))
 	if !env.maySendTo("s-0", afterGrace.Add(time.Minute-2*time.Millisecond)) || env.maySendTo("s-0", afterGrace.Add(time.Minute)) {
-		t.Error("what an agent has at its return counts as told then")
+		t.Error("the node has to know at the agent's return what the agent has then")
 	}
 }
 
-// What an address that lags gets only later counts from then on, and what was told before a new
-// configuration stays told.
+// A change that a lagging address gets late counts from then on. What an agent told the node before a new configuration
+// still counts after it.
 func TestSoakCheckerAllowsForAnAddressThatLags(t *testing.T) {
 	const lag = 5 * time.Second
 	const bound = drainGrace + soakSchedulingSlack + time.Millisecond
 	for _, testCase := range []struct {
-		pushed                 bool
-		deadlineIfLagging      time.Duration // told, where the address has lagged all along
-		deadlineIfReconfigured time.Duration // told, where it is named 1 s after the change
+		isPushed               bool
+		deadlineIfLagging      time.Duration // from the change, if the address has lagged all along
+		deadlineIfReconfigured time.Duration // from the change, if the address is configured 1 s after it
 	}{
-		{pushed: false, deadlineIfLagging: lag + maxListAge, deadlineIfReconfigured: lag + maxListAge},
-		{pushed: true, deadlineIfLagging: lag, deadlineIfReconfigured: 0},
+		{isPushed: false, deadlineIfLagging: lag + maxListAge, deadlineIfReconfigured: lag + maxListAge},
+		{isPushed: true, deadlineIfLagging: lag, deadlineIfReconfigured: 0},
 	} {
 		at := time.Now()
-		lagging := &soakEnvironment{t: t, isPushed: testCase.pushed, configured: &soakAddress{lag: lag}}
+		lagging := &soakEnvironment{t: t, isPushed: testCase.isPushed, configured: &soakAddress{lag: lag}}
 		lagging.recordChange("s-0", standin.Terminating, at)
-		reconfigured := &soakEnvironment{t: t, isPushed: testCase.pushed, configured: &soakAddress{}}
+		reconfigured := &soakEnvironment{t: t, isPushed: testCase.isPushed, configured: &soakAddress{}}
 		reconfigured.recordChange("s-0", standin.Terminating, at)
 		reconfigured.configured = &soakAddress{lag: lag}
 		reconfigured.recordReload(at.Add(time.Second))
@@ -80,13 +81,13 @@
 		}{{lagging, testCase.deadlineIfLagging}, {reconfigured, testCase.deadlineIfReconfigured}} {
 			afterGrace := at.Add(variant.deadline + bound)
 			if !variant.env.maySendTo("s-0", afterGrace.Add(-2*time.Millisecond)) || variant.env.maySendTo("s-0", afterGrace) {
-				t.Errorf("pushed %v: not told after %v", testCase.pushed, variant.deadline)
+				t.Errorf("pushed %v: the notice deadline is not %v after the change", testCase.isPushed, variant.deadline)
 			}
 		}
 	}
 }
 
-// A process that starts before an agent that lags has got a change counts as told once it has.
+// A process that starts before its lagging agent has a change has to know the change once the agent has it.
 func TestSoakCheckerAllowsForAnAgentThatLagsAtAStart(t *testing.T) {
 	const lag = 5 * time.Second
 	const bound = drainGrace + soakSchedulingSlack + time.Millisecond
@@ -97,15 +98,15 @@
 	env.configured = &soakAddress{lag: lag}
 	env.recordProcessStart(standin.List{})
 	if afterGrace := at.Add(lag + bound); !env.maySendTo("s-0", afterGrace.Add(-2*time.Millisecond)) || env.maySendTo("s-0", afterGrace) {
-		t.Error("what the agent gets later counts from then on")
+		t.Error("a change that the agent gets later counts from then on")
 	}
 	if env.maySendTo("s-1", at.Add(bound)) {
-		t.Error("what the agent has counts from the first moment on")
+		t.Error("a change that the agent already has counts from the start on")
 	}
 }
 
-// What an agent told just before a new configuration may not have been read, and an address that lags does
-// not repeat it; what it told longer before stays told.
+// The process may not have read what an agent told it just before a new configuration, and an address that lags
+// does not repeat it. What the agent told it earlier still counts.
 func TestSoakCheckerAllowsForAnAddressChangeJustAfterANotice(t *testing.T) {
 	const lag = 5 * time.Second
 	const bound = drainGrace + soakSchedulingSlack + time.Millisecond
@@ -119,12 +120,13 @@
 		env.configured = &soakAddress{lag: lag}
 		env.recordReload(at.Add(timeSinceChange))
 		if afterGrace := at.Add(deadline + bound); !env.maySendTo("s-0", afterGrace.Add(-2*time.Millisecond)) || env.maySendTo("s-0", afterGrace) {
-			t.Errorf("%v before: not told after %v", timeSinceChange, deadline)
+			t.Errorf("reload %v after the change: the notice deadline is not %v after the change", timeSinceChange, deadline)
 		}
 	}
 }
 
-// An agent's process may send nothing before a whole answer, and what the node finds out itself counts.
+// In pushed mode a process may send nothing before its agent's first whole answer. Answers to calls of the process
+// before and partial answers do not count.
 func TestSoakCheckerSeesSendsBeforeTheFirstWholeAnswer(t *testing.T) {
 	env := &soakEnvironment{t: t, isPushed: true, configured: &soakAddress{}, requests: map[string]*soakRequest{}}
 	env.recordProcessStart(standin.List{Entries: []standin.Entry{newSoakEntry(standin.InService, 7)}})
@@ -136,7 +138,7 @@
 		t.Errorf("a request before the first answer: %q", env.violations)
 	}
 	formerAnswer := &standin.Answer{CalledAt: time.Now().Add(-time.Minute), FirstByteAt: time.Now()}
-	observer.Completing(formerAnswer) // of a call of the process before
+	observer.Completing(formerAnswer) // an answer to a call of the process before
 	observer.EntriesWritten(answer, answer.List.Entries, false)
 	env.checkSend(soakServerUID(0), "r", time.Now())
 	if len(env.violations) != 2 {
@@ -145,11 +147,12 @@
 	observer.Completing(answer)
 	env.checkSend(soakServerUID(0), "r", time.Now())
 	if len(env.violations) != 2 {
-		t.Errorf("a request behind the first whole answer: %q", env.violations[2:])
+		t.Errorf("a request after the first whole answer: %q", env.violations[2:])
 	}
 }
 
-// A request that a server gets past the grace has to be seen through the world, too.
+// The environment has to report a request that a server receives past the drain grace, by what was written to the
+// process.
 func TestSoakCheckerSeesARequestPastTheDrainGrace(t *testing.T) {
 	env := &soakEnvironment{t: t, configured: &soakAddress{}, requests: map[string]*soakRequest{}}
 	env.recordProcessStart(standin.List{Entries: []standin.Entry{newSoakEntry(standin.InService, 7)}})
@@ -160,63 +163,64 @@
 	bound := drainGrace + soakSchedulingSlack + soakMaxLinkDelay
 	env.checkSend(soakServerUID(0), "r", time.Now())
 	if len(env.violations) != 0 {
-		t.Errorf("within the grace: %q", env.violations)
+		t.Errorf("within the drain grace: %q", env.violations)
 	}
 	env.checkSend(soakServerUID(0), "r", time.Now().Add(bound+time.Millisecond))
 	if len(env.violations) != 1 {
-		t.Errorf("past the grace: %q", env.violations)
+		t.Errorf("past the drain grace: %q", env.violations)
 	}
 }
 
-// What a node logs of a break, and how many goroutines it dumps, has to be seen.
+// The checker has to see drain violations in the node's log, and to count the goroutines that a process dumps.
 func TestSoakCheckerReadsTheLogOfANode(t *testing.T) {
 	env := &soakEnvironment{t: t}
 	node := &soakNode{env: env}
 	node.log.Write([]byte("time=1 level=INFO msg=\"no drain violation\"\n"))
 	node.checkLog()
 	if len(env.violations) != 0 {
-		t.Errorf("without a break: %q", env.violations)
+		t.Errorf("without a drain violation in the log: %q", env.violations)
 	}
 	node.log.Write([]byte("time=1 level=ERROR msg=\"drain violation\" server=s-0\n"))
 	node.checkLog()
 	if len(env.violations) != 1 {
-		t.Errorf("with a break: %q", env.violations)
+		t.Errorf("with a drain violation in the log: %q", env.violations)
 	}
 	logBeforeDump := node.log.String()
 	node.log.Write([]byte("SIGQUIT: quit\nPC=0x1\n\ngoroutine 0 [idle]:\nx\n\ngoroutine 1 [select]:\ny\n"))
 	if count := node.log.removeGoroutineDump(); count != 2 || node.log.String() != logBeforeDump {
-		t.Errorf("%d goroutines, the log is then %q", count, node.log.String())
+		t.Errorf("%d goroutines, the log without the dump is %q", count, node.log.String())
 	}
 }
 
-// A small fleet that could hear a change before an outage is not excused by it, and a large one is.
+// An outage does not excuse a small fleet that could learn of a change before it; it does excuse a large fleet.
 func TestSoakCheckerOfAChangeThatCouldBeKnownBeforeAnOutage(t *testing.T) {
 	for _, testCase := range []struct {
-		fleet        int
-		reachableFor time.Duration // from the change to the outage
+		fleetSize    int
+		reachableFor time.Duration // time from the change to the outage
 		isExcused    bool
 	}{
 		{soakSmallFleetMaxNodes, soakMinReachableTime, false},
 		{soakSmallFleetMaxNodes, soakMinReachableTime - time.Millisecond, true},
 		{soakSmallFleetMaxNodes + 1, maxListAge - time.Second, true},
 	} {
-		env := &soakEnvironment{t: t, fleetSize: testCase.fleet, configured: &soakAddress{}}
+		env := &soakEnvironment{t: t, fleetSize: testCase.fleetSize, configured: &soakAddress{}}
 		at := time.Now()
 		env.recordChange("s-0", standin.Terminating, at)
 		outageStart := at.Add(testCase.reachableFor)
 		env.recordOutageStart(outageStart)
 		afterGrace := at.Add(max(testCase.reachableFor, maxListAge) + drainGrace + soakSchedulingSlack + time.Millisecond)
 		if env.maySendTo("s-0", afterGrace) != testCase.isExcused {
-			t.Errorf("%d nodes, outage %v behind the change: excused %v during it", testCase.fleet, testCase.reachableFor, !testCase.isExcused)
+			t.Errorf("%d nodes, outage %v after the change: excused %v during it", testCase.fleetSize, testCase.reachableFor, !testCase.isExcused)
 		}
 		env.recordOutageEnd(afterGrace)
 		if env.maySendTo("s-0", afterGrace.Add(time.Second)) != (testCase.isExcused && testCase.reachableFor < maxListAge) {
-			t.Errorf("%d nodes, outage %v behind the change: excused %v behind it", testCase.fleet, testCase.reachableFor, !testCase.isExcused)
+			t.Errorf("%d nodes, outage %v after the change: excused %v after it", testCase.fleetSize, testCase.reachableFor, !testCase.isExcused)
 		}
 	}
 }
 
-// A list that is overdue though discovery could be reached is a break; behind an outage or a start it is none.
+// An overdue list is a violation if discovery could be reached, but not just after an outage or a start, nor in a
+// large fleet.
 func TestSoakCheckerSeesAListThatIsOverdue(t *testing.T) {
 	const excuseDuration = maxListAge + drainGrace + soakSchedulingSlack
 	at := time.Now()
@@ -225,12 +229,12 @@
 		env  *soakEnvironment
 		want int
 	}{
-		"reached":                    {&soakEnvironment{fleetSize: 1}, 1},
-		"an outage just ended":       {&soakEnvironment{fleetSize: 1, pastOutages: []soakOutage{{at.Add(-time.Minute), at.Add(time.Millisecond - excuseDuration)}}}, 0},
-		"an outage ended before":     {&soakEnvironment{fleetSize: 1, pastOutages: []soakOutage{{at.Add(-time.Minute), at.Add(-time.Millisecond - excuseDuration)}}}, 1},
-		"an outage begins later":     {&soakEnvironment{fleetSize: 1, pastOutages: []soakOutage{{at.Add(time.Second), at.Add(time.Minute)}}}, 1},
-		"the process has just begun": {&soakEnvironment{fleetSize: 1, processStarts: []time.Time{at.Add(-time.Second)}}, 0},
-		"a large fleet":              {&soakEnvironment{fleetSize: soakSmallFleetMaxNodes + 1}, 0},
+		"discovery is reachable":       {&soakEnvironment{fleetSize: 1}, 1},
+		"an outage just ended":         {&soakEnvironment{fleetSize: 1, pastOutages: []soakOutage{{at.Add(-time.Minute), at.Add(time.Millisecond - excuseDuration)}}}, 0},
+		"an outage ended long ago":     {&soakEnvironment{fleetSize: 1, pastOutages: []soakOutage{{at.Add(-time.Minute), at.Add(-time.Millisecond - excuseDuration)}}}, 1},
+		"an outage begins later":       {&soakEnvironment{fleetSize: 1, pastOutages: []soakOutage{{at.Add(time.Second), at.Add(time.Minute)}}}, 1},
+		"the process has just started": {&soakEnvironment{fleetSize: 1, processStarts: []time.Time{at.Add(-time.Second)}}, 0},
+		"a large fleet":                {&soakEnvironment{fleetSize: soakSmallFleetMaxNodes + 1}, 0},
 	} {
 		env := testCase.env
 		env.t = t
@@ -238,7 +242,7 @@
 		node.log.Write([]byte(line))
 		node.checkLog()
 		if len(env.violations) != testCase.want {
-			t.Errorf("%s: %d problems, want %d: %q", name, len(env.violations), testCase.want, env.violations)
+			t.Errorf("%s: %d violations, want %d: %q", name, len(env.violations), testCase.want, env.violations)
 		}
 	}
 }
--- a/cmd/otterstep/soak_clients_test.go
+++ b/cmd/otterstep/soak_clients_test.go
@@ -11,17 +11,17 @@
 	"time"
 )
 
-// soakClient sends requests one by one. One that keeps its connection uses it until the node closes it, up
-// to the kill; any other takes a new one for each request.
+// soakClient sends requests one after the other. A client that keeps its connection uses it until the node closes
+// it or is killed; any other client opens a connection for each request.
 type soakClient struct {
 	node             *soakNode
 	number           int
 	keepsConn        bool
-	connMayBeEvicted bool // new connections may be shut unread
+	connMayBeEvicted bool // whether the node may close a new connection unread, because there are silent ones
 	servedCount      *atomic.Int64
 }
 
-// run asks until ctx ends, and checks what comes of each request.
+// run sends requests until ctx ends, and checks the result of each.
 func (c *soakClient) run(ctx context.Context) {
 	transport := &http.Transport{DisableKeepAlives: !c.keepsConn, MaxIdleConnsPerHost: 1}
 	defer transport.CloseIdleConnections()
@@ -36,8 +36,8 @@
 	}
 }
 
-// ask sends one request. Where the node closes a resting connection that the request crosses, it is sent
-// once more on a new one.
+// sendAndCheck sends one request and checks its result. If the node closes an idle connection just as the request
+// is sent, the client sends it again on a new connection.
 func (c *soakClient) sendAndCheck(transport *http.Transport, requestNumber, killCount int) {
 	env, id := c.node.env, fmt.Sprintf("c%d-%d", c.number, requestNumber)
 	method, class := http.MethodGet, "read"
@@ -55,18 +55,19 @@
 	}
 	mayConnect, _, currentKillCount := c.node.clientAccess()
 	if currentKillCount != killCount {
-		return // the node was killed under it
+		return // the process was killed during the request
 	}
 	switch took := time.Since(startedAt); {
-	case errors.Is(err, syscall.ECONNREFUSED): // not taken
+	case errors.Is(err, syscall.ECONNREFUSED):
 		if mayConnect {
-			env.recordViolation(violationLost, "request %s is refused by the machine", id)
+			env.recordViolation(violationLost, "request %s: connection refused while the node has to listen", id)
 		}
-	case err != nil && !c.reachedServer(id) && (c.connMayBeEvicted || !mayConnect): // shut unread, or the node has left
+	case err != nil && !c.reachedServer(id) && (c.connMayBeEvicted || !mayConnect):
+		// The node closed the connection unread, or is draining.
 	case err != nil:
 		env.recordViolation(violationLost, "request %s: %v", id, err)
 	case took > soakTimeLeft+500*time.Millisecond+soakSchedulingSlack:
-		env.recordViolation(violationLost, "request %s answered after %v", id, took)
+		env.recordViolation(violationLost, "request %s was answered only after %v", id, took)
 	case status == http.StatusOK && body != id:
 		env.recordViolation(violationAnswer, "request %s got the answer %q", id, body)
 	case status == http.StatusOK:
@@ -74,14 +75,14 @@
 	}
 }
 
-// forwarded tells whether a server got a request.
+// reachedServer reports whether a server received a request.
 func (c *soakClient) reachedServer(id string) bool {
 	c.node.env.mu.Lock()
 	defer c.node.env.mu.Unlock()
 	return c.node.env.requests[id].receivedCount > 0
 }
 
-// send sends a request and gives its answer.
+// roundTrip sends a request and returns its answer.
 func (c *soakClient) roundTrip(transport *http.Transport, method, class, id string) (status int, body string, err error) {
 	request, err := http.NewRequest(method, fmt.Sprintf("http://%s/%s/k", c.node.addr, class), nil)
 	if err != nil {
--- a/cmd/otterstep/soak_written_judge_test.go
+++ b/cmd/otterstep/soak_delivery_checker_test.go
@@ -7,7 +7,7 @@
 	"otterstep/internal/standin"
 )
 
-// writtenTrial plays what is written to a process.
+// deliveryFixture simulates what two addresses write to a process.
 type deliveryFixture struct {
 	t                *testing.T
 	processStartedAt time.Time
@@ -23,26 +23,26 @@
 	return f
 }
 
-// soakLine is a line of the server of a trial.
+// newSoakEntry returns an entry of the server that the tests of the checker use.
 func newSoakEntry(state string, bootMs int64) standin.Entry {
 	return standin.Entry{UID: soakServerUID(0), State: state, BootMs: bootMs}
 }
 
-// after gives the time since the process began.
+// timeAfter returns the time at a delay after the start of the process.
 func (f *deliveryFixture) timeAfter(delay time.Duration) time.Time {
 	return f.processStartedAt.Add(delay)
 }
 
-// answer is one that an address begins.
-func (f *deliveryFixture) newAnswer(counter int, version int64, isWhole bool, entries ...standin.Entry) *standin.Answer {
+// newAnswer returns the answer to the next call.
+func (f *deliveryFixture) newAnswer(versionRestarts int, version int64, isWhole bool, entries ...standin.Entry) *standin.Answer {
 	f.callCount++
 	return &standin.Answer{
-		CallNumber: f.callCount, CalledAt: f.processStartedAt, FirstByteAt: f.timeAfter(time.Millisecond), VersionRestarts: counter,
+		CallNumber: f.callCount, CalledAt: f.processStartedAt, FirstByteAt: f.timeAfter(time.Millisecond), VersionRestarts: versionRestarts,
 		List: standin.List{Version: version, IsWhole: isWhole, Entries: entries},
 	}
 }
 
-// writes has an address write an answer at a time, whole or up to its last line.
+// writeAnswer has an address write all entries of an answer, with the end of the message if complete is set.
 func (f *deliveryFixture) writeAnswer(addressNumber int, answer *standin.Answer, complete bool, delay time.Duration) {
 	if complete {
 		f.checker.recordCompleting(f.addresses[addressNumber], answer, f.timeAfter(delay))
@@ -50,7 +50,7 @@
 	f.checker.recordWritten(f.addresses[addressNumber], answer, answer.List.Entries, complete, f.timeAfter(delay))
 }
 
-// expect checks whether the process may send to the server.
+// expectForbidden checks whether the process is forbidden to send to the server.
 func (f *deliveryFixture) expectForbidden(wantForbidden bool, delay time.Duration, description string) {
 	f.t.Helper()
 	at := f.timeAfter(delay)
@@ -59,8 +59,8 @@
 	}
 }
 
-// A line counts as soon as it is written, whatever becomes of its message, and up to the grace the server
-// may be sent to.
+// An entry that takes a server out of service counts as soon as it is written, whatever becomes of its message. Until
+// the end of the drain grace the server may be sent to.
 func TestSoakDeliveryCheckerSeesAServerThatWasWrittenAsOutOfService(t *testing.T) {
 	const writtenAfter = time.Second
 	const bound = writtenAfter + drainGrace + soakSchedulingSlack
@@ -68,13 +68,13 @@
 		"changes": func(fixture *deliveryFixture) {
 			fixture.writeAnswer(0, fixture.newAnswer(0, 2, false, newSoakEntry(standin.Terminating, 7)), true, writtenAfter)
 		},
-		"half an answer": func(fixture *deliveryFixture) {
+		"an incomplete answer": func(fixture *deliveryFixture) {
 			fixture.writeAnswer(0, fixture.newAnswer(0, 2, false, newSoakEntry(standin.Terminated, 7)), false, writtenAfter)
 		},
 		"a whole list that does not name it": func(fixture *deliveryFixture) {
 			fixture.writeAnswer(0, fixture.newAnswer(0, 2, true), true, writtenAfter)
 		},
-		"a version that starts anew": func(fixture *deliveryFixture) {
+		"versions that restart": func(fixture *deliveryFixture) {
 			fixture.writeAnswer(0, fixture.newAnswer(0, 9, false, newSoakEntry(standin.InService, 7)), true, writtenAfter/2)
 			fixture.writeAnswer(0, fixture.newAnswer(1, 2, false, newSoakEntry(standin.Terminating, 7)), true, writtenAfter)
 		},
@@ -82,14 +82,14 @@
 		fixture := newDeliveryFixture(t)
 		fixture.expectForbidden(false, time.Hour, name+", before")
 		write(fixture)
-		fixture.expectForbidden(false, bound, name+", up to the grace")
-		fixture.expectForbidden(true, bound+time.Millisecond, name+", beyond it")
-		fixture.expectForbidden(true, time.Hour, name+", for long")
+		fixture.expectForbidden(false, bound, name+", at the end of the drain grace")
+		fixture.expectForbidden(true, bound+time.Millisecond, name+", past the drain grace")
+		fixture.expectForbidden(true, time.Hour, name+", long after")
 	}
 }
 
-// What puts a server back: a later version of the address that told it, a later start, or an address that
-// has had time to catch up. Nothing else does.
+// A server returns to service by a later version of the address that took it out, by a later start, or by another
+// address that has had time to catch up, and by nothing else.
 func TestSoakDeliveryCheckerKnowsWhatReturnsAServerToService(t *testing.T) {
 	const later = time.Minute / 2
 	inService, restarted := newSoakEntry(standin.InService, 7), newSoakEntry(standin.InService, 8)
@@ -101,7 +101,7 @@
 		"a later version": {func(fixture *deliveryFixture) {
 			fixture.writeAnswer(0, fixture.newAnswer(0, 6, true, inService), true, later)
 		}, later, false},
-		"a later version that is not whole": {func(fixture *deliveryFixture) {
+		"a later version in an incomplete answer": {func(fixture *deliveryFixture) {
 			fixture.writeAnswer(0, fixture.newAnswer(0, 6, true, inService), false, later)
 		}, later, true},
 		"the same version": {func(fixture *deliveryFixture) {
@@ -121,11 +121,11 @@
 			fixture.checker.recordAddressChange(fixture.addresses[1], fixture.timeAfter(later))
 			fixture.writeAnswer(1, fixture.newAnswer(0, 6, true, inService), true, later)
 		}, later + maxCatchUpTime + time.Millisecond, false},
-		"an address that is not named any more": {func(fixture *deliveryFixture) {
+		"an address that is no longer configured": {func(fixture *deliveryFixture) {
 			fixture.writeAnswer(0, fixture.newAnswer(0, 5, true, inService), true, later)
 			fixture.checker.recordAddressChange(fixture.addresses[1], fixture.timeAfter(later))
 		}, later + 2*maxCatchUpTime, true},
-		"another address that told it too, in a later version": {func(fixture *deliveryFixture) {
+		"another address that took it out, too, in a later version": {func(fixture *deliveryFixture) {
 			fixture.checker.recordAddressChange(fixture.addresses[1], fixture.timeAfter(later))
 			fixture.writeAnswer(1, fixture.newAnswer(0, 1, true, newSoakEntry(standin.Terminating, 7)), true, later)
 			fixture.writeAnswer(1, fixture.newAnswer(0, 2, false, inService), true, later)
@@ -139,33 +139,33 @@
 	}
 }
 
-// What may not have arrived does not count, and an answer from before does not take out what a later version
-// of the same address has put into service.
+// Entries that may not have arrived do not count, and an earlier version does not take out of service what a later
+// version of the same address has in service.
 func TestSoakDeliveryCheckerIgnoresWhatMayNotHaveArrived(t *testing.T) {
 	const writtenAfter = time.Second
 	outOfService := newSoakEntry(standin.Terminating, 7)
 	for name, write := range map[string]func(fixture *deliveryFixture){
-		"a link that is broken": func(fixture *deliveryFixture) {
+		"a link with a fault": func(fixture *deliveryFixture) {
 			fixture.checker.recordLinkChange(fixture.addresses[0], standin.LinkDropsData, fixture.timeAfter(0))
 			fixture.writeAnswer(0, fixture.newAnswer(0, 5, false, outOfService), true, writtenAfter)
 		},
-		"a link that breaks just behind it": func(fixture *deliveryFixture) {
+		"a link that breaks just after the write": func(fixture *deliveryFixture) {
 			fixture.writeAnswer(0, fixture.newAnswer(0, 5, false, outOfService), true, writtenAfter)
 			fixture.checker.recordLinkChange(fixture.addresses[0], standin.LinkResets, fixture.timeAfter(writtenAfter+maxUnreadTime))
 		},
-		"a new configuration just behind it": func(fixture *deliveryFixture) {
+		"a new configuration just after the write": func(fixture *deliveryFixture) {
 			fixture.writeAnswer(0, fixture.newAnswer(0, 5, false, outOfService), true, writtenAfter)
 			fixture.checker.recordAddressChange(fixture.addresses[1], fixture.timeAfter(writtenAfter+maxUnreadTime))
 		},
-		"an address that is not named": func(fixture *deliveryFixture) {
+		"an address that is not configured": func(fixture *deliveryFixture) {
 			fixture.writeAnswer(1, fixture.newAnswer(0, 5, false, outOfService), true, writtenAfter)
 		},
-		"a call that is left just behind it": func(fixture *deliveryFixture) {
+		"a call that is abandoned just after the write": func(fixture *deliveryFixture) {
 			answer := fixture.newAnswer(0, 5, false, outOfService)
 			fixture.writeAnswer(0, answer, false, writtenAfter)
 			fixture.checker.recordAbandoned(0, answer.CallNumber, fixture.timeAfter(writtenAfter+maxUnreadTime))
 		},
-		"an answer from before": func(fixture *deliveryFixture) {
+		"an earlier version": func(fixture *deliveryFixture) {
 			fixture.writeAnswer(0, fixture.newAnswer(0, 6, false, newSoakEntry(standin.InService, 7)), true, writtenAfter)
 			fixture.writeAnswer(0, fixture.newAnswer(0, 5, false, outOfService), true, writtenAfter)
 		},
@@ -180,5 +180,5 @@
 	fixture := newDeliveryFixture(t)
 	fixture.writeAnswer(0, fixture.newAnswer(0, 5, false, outOfService), true, writtenAfter)
 	fixture.checker.recordLinkChange(fixture.addresses[0], standin.LinkResets, fixture.timeAfter(writtenAfter+maxUnreadTime+time.Millisecond))
-	fixture.expectForbidden(true, time.Hour, "a link that breaks some time behind it")
+	fixture.expectForbidden(true, time.Hour, "a link that breaks some time after the write")
 }
--- a/cmd/otterstep/soak_written_test.go
+++ b/cmd/otterstep/soak_delivery_test.go
@@ -8,34 +8,35 @@
 )
 
 const (
-	// catchUpAfter is how long an address has to list a server in service, which another one has told to be
-	// out, before that counts.
+	// maxCatchUpTime is the time since the latest address change and the latest notice after which the configured
+	// address may return a server to service that another address took out.
 	maxCatchUpTime = 60 * time.Second
 
-	// writtenUnsure is how long before the end of a connection what was written to it may not have been read:
-	// the process may be held up.
+	// maxUnreadTime is the time before the end of a connection within which data written to it may not have been
+	// read, because the process may be suspended.
 	maxUnreadTime = soakPauseDuration + 100*time.Millisecond
 )
 
-// soakLinkState is the state of the link to an address, as far as it matters for what is written.
+// soakLinkState tells whether the link to an address has a fault.
 type soakLinkState struct {
 	isFaulty bool
 	since    time.Time
 }
 
-// soakWritten is what the addresses of discovery have written to one process. It tells whether the process
-// may send to a server by that alone: whatever it was told of a server's life, it was told.
+// deliveryChecker records what the addresses of discovery have written to one process, and decides by that alone
+// whether the process may send to a server. An entry counts as soon as it was written, whatever becomes of the rest
+// of its message.
 type deliveryChecker struct {
-	processStartedAt time.Time    // the process
-	configured       *soakAddress // that its configuration names
-	addressChangedAt time.Time    // when it named it
-	entries          map[string][]writtenEntry
-	linkStates       map[int]soakLinkState
-	isConfirmed      bool // a whole message was written
-	knownBootMs      map[string]int64
+	processStartedAt time.Time                 // when the process started
+	configured       *soakAddress              // address that the configuration names
+	addressChangedAt time.Time                 // when the configuration began to name it
+	entries          map[string][]writtenEntry // by UID, in the order of writing
+	linkStates       map[int]soakLinkState     // by number of the address
+	isConfirmed      bool                      // whether a whole message was written
+	knownBootMs      map[string]int64          // starts in the configured list, by UID
 }
 
-// newSoakWritten begins with a process, and the list of its configuration.
+// newDeliveryChecker returns a checker for a process that starts with the list of its configuration.
 func newDeliveryChecker(at time.Time, configured *soakAddress, knownList standin.List) deliveryChecker {
 	c := deliveryChecker{
 		processStartedAt: at, configured: configured, addressChangedAt: at,
@@ -47,16 +48,17 @@
 	return c
 }
 
-// moved notes that the configuration names another address. What was written just before may not be read.
+// recordAddressChange records that the configuration names another address. The process may not have read what was
+// written just before.
 func (c *deliveryChecker) recordAddressChange(next *soakAddress, at time.Time) {
 	c.markMayBeLost(func(entry writtenEntry) bool { return !entry.writtenAt.Before(at.Add(-maxUnreadTime)) })
 	c.configured, c.addressChangedAt = next, at
 }
 
-// linkChanges notes what a link does from now on. What was written to it just before may not arrive.
+// recordLinkChange records the fault of a link from now on. What was written to it just before may not arrive.
 func (c *deliveryChecker) recordLinkChange(address *soakAddress, fault standin.LinkFault, at time.Time) {
 	if c.linkStates == nil {
-		return // no process yet
+		return // no process has started yet
 	}
 	c.linkStates[address.number] = soakLinkState{isFaulty: fault != standin.LinkHealthy, since: at}
 	c.markMayBeLost(func(entry writtenEntry) bool {
@@ -64,15 +66,15 @@
 	})
 }
 
-// abandoned notes that the process left a call before the message was whole: it may not have read the last
-// of it.
+// recordAbandoned records that the process left a call before the message was whole. It may not have read the last
+// part.
 func (c *deliveryChecker) recordAbandoned(addressNumber, callNumber int, at time.Time) {
 	c.markMayBeLost(func(entry writtenEntry) bool {
 		return entry.source.addressNumber == addressNumber && entry.callNumber == callNumber && !entry.writtenAt.Before(at.Add(-maxUnreadTime))
 	})
 }
 
-// doubt makes words unsure.
+// markMayBeLost marks the entries that the process may not have received.
 func (c *deliveryChecker) markMayBeLost(mayBeLost func(writtenEntry) bool) {
 	for _, entries := range c.entries {
 		for i, entry := range entries {
@@ -81,19 +83,19 @@
 	}
 }
 
-// concerns tells whether an answer is to a call of this process.
+// isForProcess reports whether an answer belongs to a call of this process.
 func (c *deliveryChecker) isForProcess(answer *standin.Answer) bool {
 	return c.entries != nil && !answer.CalledAt.Before(c.processStartedAt)
 }
 
-// arrives tells whether what is written to an answer is sure to reach the process.
+// isSureToArrive reports whether what is written to an answer surely reaches the process.
 func (c *deliveryChecker) isSureToArrive(address *soakAddress, answer *standin.Answer) bool {
 	link := c.linkStates[address.number]
 	return address == c.configured && !link.isFaulty && answer.FirstByteAt.After(link.since)
 }
 
-// completing takes in what a message puts into service, before its end is written: it counts when the
-// message is whole.
+// recordCompleting records the servers that a message has in service, just before its end is written. They count
+// only in a whole message.
 func (c *deliveryChecker) recordCompleting(address *soakAddress, answer *standin.Answer, at time.Time) {
 	c.isConfirmed = true
 	for _, entry := range answer.List.Entries {
@@ -103,8 +105,8 @@
 	}
 }
 
-// wrote takes in what lines that were written take out of service; those of a whole list also what they do
-// not name.
+// recordWritten records the servers that written entries take out of service. Once a whole list is complete, those
+// that it does not name are out of service, too.
 func (c *deliveryChecker) recordWritten(address *soakAddress, answer *standin.Answer, entries []standin.Entry, complete bool, at time.Time) {
 	for _, entry := range entries {
 		if isOutOfService(entry) {
@@ -125,7 +127,7 @@
 	}
 }
 
-// word is what an answer says of a server.
+// entryOf returns what an answer says of a server.
 func (c *deliveryChecker) entryOf(address *soakAddress, answer *standin.Answer, bootMs int64, isOut bool, at time.Time) writtenEntry {
 	return writtenEntry{
 		writtenAt: at, source: soakSource{addressNumber: address.number, versionRestarts: answer.VersionRestarts}, callNumber: answer.CallNumber,
@@ -133,7 +135,7 @@
 	}
 }
 
-// say takes a word in, unless it repeats the latest of its server.
+// addEntry adds an entry, unless it has the server in service and repeats its latest entry.
 func (c *deliveryChecker) addEntry(uid string, entry writtenEntry) {
 	entries := c.entries[uid]
 	if len(entries) > 0 {
@@ -146,7 +148,7 @@
 	c.entries[uid] = append(entries, entry)
 }
 
-// life is the latest start of a server that the process was told of, with what it was told.
+// latestIncarnation returns the latest incarnation of a server that the process knows of, with its entries applied.
 func (c *deliveryChecker) latestIncarnation(uid string) *soakIncarnation {
 	incarnation := newSoakIncarnation(unlistedBootMs)
 	if bootMs, isKnown := c.knownBootMs[uid]; isKnown {
@@ -155,7 +157,7 @@
 	for _, entry := range c.entries[uid] {
 		switch {
 		case entry.bootMs == unlistedBootMs && !incarnation.isReceived:
-			continue // of a server that it may never have heard of
+			continue // the process may never have heard of the server
 		case entry.bootMs == unlistedBootMs:
 			entry.bootMs = incarnation.bootMs
 		case entry.bootMs < incarnation.bootMs:
@@ -170,8 +172,8 @@
 	return incarnation
 }
 
-// forbids tells whether the process may not have sent to a server at a time, by what it had been told, and
-// who told it. What puts the server back counts up to the present.
+// forbidsSend reports whether the process was not allowed to send to a server at sentAt, and why. An entry that
+// returns the server to service counts if it was written before now.
 func (c *deliveryChecker) forbidsSend(uid string, sentAt, now time.Time) (reason string, isForbidden bool) {
 	incarnation := c.latestIncarnation(uid)
 	if !incarnation.isOut || !sentAt.After(incarnation.firstOutAt.Add(drainGrace+soakSchedulingSlack)) {
@@ -184,14 +186,14 @@
 	if incarnation.listedByAddress == c.configured.number && now.Sub(since) > maxCatchUpTime {
 		return "", false
 	}
-	reason = fmt.Sprintf("start %d, since %s", incarnation.bootMs, incarnation.firstOutAt.UTC().Format("15:04:05.000"))
-	for address, notice := range incarnation.noticeByAddress {
-		reason += fmt.Sprintf(", by address %d in version %d, call %d", address, notice.version, notice.callNumber)
+	reason = fmt.Sprintf("boot_ms %d, out of service since %s", incarnation.bootMs, incarnation.firstOutAt.UTC().Format("15:04:05.000"))
+	for addressNumber, notice := range incarnation.noticeByAddress {
+		reason += fmt.Sprintf(", by address %d in version %d, call %d", addressNumber, notice.version, notice.callNumber)
 	}
 	return reason, true
 }
 
-// soakObserver takes note of what an address of discovery writes.
+// soakObserver records what an address of discovery writes.
 type soakObserver struct {
 	env     *soakEnvironment
 	address *soakAddress
@@ -206,7 +208,7 @@
 	}
 }
 
-// Wrote implements standin.AnswerObserver.
+// EntriesWritten implements standin.AnswerObserver.
 func (o *soakObserver) EntriesWritten(answer *standin.Answer, entries []standin.Entry, complete bool) {
 	o.env.mu.Lock()
 	defer o.env.mu.Unlock()
--- a/cmd/otterstep/soak_world_test.go
+++ b/cmd/otterstep/soak_environment_test.go
@@ -13,17 +13,17 @@
 	"otterstep/internal/standin"
 )
 
-// soakChange is a change of a server's state; a node counts as told of it at a time.
+// soakChange is a change of a server's state.
 type soakChange struct {
 	uid            string
 	state          string
 	madeAt         time.Time
-	noticeDeadline time.Time
+	noticeDeadline time.Time // when a node has to know it
 
-	mustBeKnown bool // discovery could be reached for soakReached behind it: no later outage excuses a node
+	mustBeKnown bool // discovery was reachable for soakMinReachableTime after it, so no later outage excuses the node
 }
 
-// soakAddress is an address of discovery: a replica behind a link.
+// soakAddress is an address of discovery: a replica behind a link whose faults can be set.
 type soakAddress struct {
 	number  int
 	replica *standin.Replica
@@ -31,70 +31,71 @@
 	lag     time.Duration
 }
 
-// soakSpan is a span of time.
+// soakOutage is a span of time in which discovery cannot be reached.
 type soakOutage struct{ from, to time.Time }
 
-// soakRequest is what is known of a request of a client.
+// soakRequest records a client's request.
 type soakRequest struct {
-	deadline      time.Time // when its client gives up
-	processNumber int       // that it was sent to
-	receivedCount int       // times that a server got it
+	deadline      time.Time // when the client's time is over
+	processNumber int       // number of the process that it was sent to
+	receivedCount int       // number of times that a server received it
 }
 
-// soakWorld is what the stand-ins know together. It judges each request that comes to a server.
+// soakEnvironment holds the stand-ins and the state that they share. It checks each request that reaches a server.
 type soakEnvironment struct {
 	t             *testing.T
-	rng           *rand.Rand // of the timeline alone
+	rng           *rand.Rand // used by the timeline only
 	history       *standin.History
 	addresses     []*soakAddress
-	serverLinks   []*standin.Proxy // the links to them
-	isPushed      bool             // what an agent has counts as told at once
-	fleetSize     int              // nodes, by the settings
-	appliedFaults []string         // names of faults
+	serverLinks   []*standin.Proxy // links to the servers
+	isPushed      bool             // whether an agent pushes the list; the node has to know its changes at once
+	fleetSize     int              // number of nodes in the settings
+	appliedFaults []string         // names of the faults so far
 
-	changeMu sync.Mutex // held while a server's state is changed
+	changeMu sync.Mutex // serializes changes of server states
 
 	mu               sync.Mutex
-	configured       *soakAddress // that the configuration names
+	configured       *soakAddress // address that the configuration names
 	changes          []soakChange
-	outageSince      time.Time       // discovery can't be reached since then; zero: it can
-	pastOutages      []soakOutage    // of before
-	addressChangedAt time.Time       // the latest new configuration
-	processStarts    []time.Time     // of processes
-	deliveries       deliveryChecker // to the present process
-	processNumber    int             // its number
+	outageSince      time.Time       // start of the present outage, zero if discovery is reachable
+	pastOutages      []soakOutage    // outages that have ended
+	addressChangedAt time.Time       // time of the latest change of the configured address
+	processStarts    []time.Time     // start times of all processes
+	deliveries       deliveryChecker // what discovery has written to the present process
+	processNumber    int             // number of the present process
 	requests         map[string]*soakRequest
 	violations       []soakViolation
-	timeline         []string // what was done, for the report of a failure
+	timeline         []string // events for the report of a failure
 }
 
-// note keeps what is done for the report of a failure.
+// recordEvent adds an event to the timeline.
 func (env *soakEnvironment) recordEvent(format string, args ...any) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	env.timeline = append(env.timeline, withTimestamp(format, args...))
 }
 
-// watchMachine notes where the test's own process stands still: what is late then is not the node's.
+// recordStalls records when the test's own process stalls. Delays at such times are not the node's.
 func (env *soakEnvironment) recordStalls(ctx context.Context) {
 	const interval, threshold = 20 * time.Millisecond, 300 * time.Millisecond
 	for ctx.Err() == nil {
 		startedAt := time.Now()
 		time.Sleep(interval)
 		if took := time.Since(startedAt); took > threshold {
-			env.recordEvent("the test stood still for %v", took)
+			env.recordEvent("the test process stalled for %v", took)
 		}
 	}
 }
 
-// at is the address that the configuration names.
+// configuredAddress returns the address that the configuration names.
 func (env *soakEnvironment) configuredAddress() *soakAddress {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	return env.configured
 }
 
-// change puts a server into a state. One that comes back has started anew, unless its drain was called off.
+// setServerState puts a server into a state. If restarted is set, the server has started anew; a server that
+// returns without a new start has had its drain called off.
 func (env *soakEnvironment) setServerState(uid, state string, restarted bool) {
 	env.changeMu.Lock()
 	defer env.changeMu.Unlock()
@@ -106,10 +107,10 @@
 	}
 	env.recordChange(uid, state, now)
 	env.history.Change(entry)
-	env.recordEvent("%s %s, start %d", uid, state, entry.BootMs)
+	env.recordEvent("server %s is %s, boot_ms %d", uid, state, entry.BootMs)
 }
 
-// changed notes a change, and by when it counts as told.
+// recordChange records a change and when a node has to know it.
 func (env *soakEnvironment) recordChange(uid, state string, madeAt time.Time) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -117,7 +118,7 @@
 	env.changes = append(env.changes, soakChange{uid: uid, state: state, madeAt: madeAt, noticeDeadline: env.noticeDeadline(visibleAt)})
 }
 
-// toldOf is when a node counts as told of what an address of discovery got at a time.
+// noticeDeadline returns when a node has to know a change that its address of discovery has since visibleAt.
 func (env *soakEnvironment) noticeDeadline(visibleAt time.Time) time.Time {
 	if env.isPushed {
 		return visibleAt
@@ -125,7 +126,9 @@
 	return visibleAt.Add(maxListAge)
 }
 
-// outageBegins notes that discovery can't be reached from now on: nothing counts as told until it can.
+// recordOutageStart records that discovery cannot be reached from now on. Until it can, the node need not know changes
+// whose deadline has not passed, except those that a small fleet in on-request mode could learn of in
+// soakMinReachableTime before the outage.
 func (env *soakEnvironment) recordOutageStart(at time.Time) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -141,7 +144,7 @@
 	}
 }
 
-// lastOutage is when discovery could be reached again for the last time. The lock is held.
+// lastOutageEnd returns when the latest past outage ended, zero if there was none. The caller holds env.mu.
 func (env *soakEnvironment) lastOutageEnd() time.Time {
 	if len(env.pastOutages) == 0 {
 		return time.Time{}
@@ -149,8 +152,8 @@
 	return env.pastOutages[len(env.pastOutages)-1].to
 }
 
-// outageEnds notes that it can be reached again: what it has counts as told toldAfter later, or at once
-// where an agent has it.
+// recordOutageEnd records that discovery can be reached again. A node has to know what discovery has maxListAge
+// later, or at once if an agent pushes the list.
 func (env *soakEnvironment) recordOutageEnd(to time.Time) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -164,16 +167,18 @@
 	}
 }
 
-// reloaded notes that what another address of discovery has counts as told some time after a new
-// configuration, also where an agent has had it before. What it gets only later counts from then on.
+// recordReload records that a new configuration names another address of discovery. A node has to know what
+// that address has maxAddressChangeDelay after the reload, also if an agent has had it before. For a change that
+// the address gets only later, the time counts from then on.
 func (env *soakEnvironment) recordReload(reloadedAt time.Time) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	for i, change := range env.changes {
 		visibleAt, deadline := change.madeAt.Add(env.configured.lag), reloadedAt.Add(maxAddressChangeDelay)
-		settledBefore := reloadedAt // what counted as told before was heard from the address of before
+		settledBefore := reloadedAt // deadlines before this time were met with the former address
 		if env.isPushed && visibleAt.After(reloadedAt) {
-			settledBefore = reloadedAt.Add(-maxUnreadTime) // unless it had just come, and is not repeated at once
+			// The process may not have read a change that had just come, and the new address does not repeat it at once.
+			settledBefore = reloadedAt.Add(-maxUnreadTime)
 		}
 		switch {
 		case change.noticeDeadline.Before(settledBefore):
@@ -188,7 +193,8 @@
 	}
 }
 
-// mayBeSent tells whether a node may send to a server at a time, by some of what it was told lately.
+// maySendTo reports whether a node may send to a server at a time. It may if the latest change has the server in
+// service, or if there is a change of the server that the node need not know yet.
 func (env *soakEnvironment) maySendTo(uid string, at time.Time) bool {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -198,14 +204,14 @@
 			continue
 		}
 		if change.noticeDeadline.Add(drainGrace+soakSchedulingSlack).After(at) || !env.outageSince.IsZero() && !change.mustBeKnown && !change.noticeDeadline.Before(env.outageSince) {
-			return true // it may not know this one yet, or know it by now
+			return true // the node may or may not know this change
 		}
 		state = change.state
 	}
 	return state == standin.InService
 }
 
-// processBegins notes that a process starts with a list in its configuration.
+// recordProcessStart records that a process starts with a known list in its configuration.
 func (env *soakEnvironment) recordProcessStart(knownList standin.List) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -216,12 +222,13 @@
 	for i, change := range env.changes {
 		visibleAt := change.madeAt.Add(env.configured.lag)
 		if env.isPushed && visibleAt.After(now) && visibleAt.After(change.noticeDeadline) {
-			env.changes[i].noticeDeadline = visibleAt // an agent that lags has not got it yet, and nothing else tells this process
+			// The lagging agent does not have the change yet, and nothing else tells the new process.
+			env.changes[i].noticeDeadline = visibleAt
 		}
 	}
 }
 
-// movesTo notes that the configuration names another address from now on.
+// recordAddressChange records that the configuration names another address from now on.
 func (env *soakEnvironment) recordAddressChange(next *soakAddress, at time.Time) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -229,7 +236,8 @@
 	env.deliveries.recordAddressChange(next, at)
 }
 
-// setLink sets what the link to an address does.
+// setLinkFault sets the fault of the link to an address. It records the change both before and after it takes
+// effect, so that nothing written in between counts as sure to arrive.
 func (env *soakEnvironment) setLinkFault(address *soakAddress, fault standin.LinkFault) {
 	env.mu.Lock()
 	env.deliveries.recordLinkChange(address, fault, time.Now())
@@ -240,27 +248,28 @@
 	env.deliveries.recordLinkChange(address, fault, time.Now())
 }
 
-// judge checks a request that a server got: whether its node may have sent it.
+// checkSend checks whether the node was allowed to send a request that a server has received.
 func (env *soakEnvironment) checkSend(uid, id string, receivedAt time.Time) {
 	sentAt := receivedAt.Add(-soakMaxLinkDelay)
 	if !env.maySendTo(uid, sentAt) {
-		env.recordViolation(violationDrain, "request %s went to %s, which is gone", id, uid)
+		env.recordViolation(violationDrain, "request %s went to %s, which the node has to know is out of service", id, uid)
 	}
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	request := env.requests[id]
 	if request == nil || request.processNumber != env.processNumber {
-		return // of no client, which is checked elsewhere, or from a process that has ended
+		return // checkReceivedRequest reports unknown requests; the others are of a process that has ended
 	}
 	if reason, isForbidden := env.deliveries.forbidsSend(uid, sentAt, receivedAt); isForbidden {
-		env.recordViolationLocked(violationWritten, "request %s went to %s, which was written to be out: %s", id, uid, reason)
+		env.recordViolationLocked(violationWritten, "request %s went to %s, which was written to the process as out of service: %s", id, uid, reason)
 	}
 	if env.isPushed && !env.deliveries.isConfirmed {
-		env.recordViolationLocked(violationUnconfirmed, "request %s went to %s before the process got an answer", id, uid)
+		env.recordViolationLocked(violationUnconfirmed, "request %s went to %s before the process got a whole answer from its agent", id, uid)
 	}
 }
 
-// checkRequest checks what a server was told of a request.
+// checkReceivedRequest checks that a request is a client's, reaches a server only once if it is a POST, and
+// states no more time than its client has left.
 func (env *soakEnvironment) checkReceivedRequest(r *http.Request, now time.Time) {
 	id := r.Header.Get("X-Correlation-Id")
 	secondsLeft, err := strconv.ParseFloat(r.Header.Get("X-Time-Left"), 64)
@@ -269,18 +278,18 @@
 	defer env.mu.Unlock()
 	request := env.requests[id]
 	if request == nil {
-		env.recordViolationLocked(violationAnswer, "request %s is of no client", id)
+		env.recordViolationLocked(violationAnswer, "request %s was sent by no client", id)
 		return
 	}
 	if request.receivedCount++; request.receivedCount > 1 && r.Method == http.MethodPost {
-		env.recordViolationLocked(violationDuplicate, "request %s", id)
+		env.recordViolationLocked(violationDuplicate, "request %s was received more than once", id)
 	}
 	if err != nil || now.Add(timeLeft).After(request.deadline.Add(150*time.Millisecond+soakMaxLinkDelay+soakSchedulingSlack)) {
-		env.recordViolationLocked(violationDeadline, "request %s is told %v with %v left", id, timeLeft, request.deadline.Sub(now))
+		env.recordViolationLocked(violationDeadline, "request %s states X-Time-Left %v, its client has %v left", id, timeLeft, request.deadline.Sub(now))
 	}
 }
 
-// server is one of the listed servers.
+// serverHandler returns the handler of a listed server, which answers in ways drawn at random.
 func (env *soakEnvironment) serverHandler(uid string) http.Handler {
 	rng := rand.New(rand.NewPCG(uint64(len(uid)), uint64(uid[len(uid)-1])))
 	var mu sync.Mutex
@@ -313,5 +322,5 @@
 	})
 }
 
-// leaves tells whether a line takes its server out of service.
+// isOutOfService reports whether an entry takes its server out of service.
 func isOutOfService(entry standin.Entry) bool { return entry.State != standin.InService }
--- a/cmd/otterstep/soak_faults_test.go
+++ b/cmd/otterstep/soak_faults_test.go
@@ -11,13 +11,13 @@
 	"otterstep/internal/standin"
 )
 
-// sleepFor lets a random time pass.
+// sleepFor sleeps for a random time.
 func sleepFor(rng *rand.Rand, shortest, longest time.Duration) {
 	time.Sleep(shortest + time.Duration(rng.Float64()*float64(longest-shortest)))
 }
 
-// churn has servers drain, leave and come back; two of them stay. Some come back without a new start, and
-// some changes find the process held up.
+// churnServers has servers drain, leave and return, except the first two, which stay. Some return without a new
+// start, and some changes happen while the process is suspended.
 func (env *soakEnvironment) churnServers(ctx context.Context, node *soakNode, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	for ctx.Err() == nil {
@@ -35,7 +35,7 @@
 	}
 }
 
-// soakFramings are the forms of answers that do not keep a message back: what is told is told at once.
+// promptFramings are the framings of answers that deliver the content of a message at once.
 var promptFramings = []standin.Framing{
 	{},
 	{Indented: true},
@@ -55,7 +55,7 @@
 	{Delimiter: standin.Chunked, EntryPerPiece: true, Pause: 5 * time.Millisecond, Ending: standin.EndsNever},
 }
 
-// reframe has answers come in other forms, again and again.
+// varyFramings changes the framing of answers at random times.
 func (env *soakEnvironment) varyFramings(ctx context.Context, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	for ctx.Err() == nil {
@@ -67,48 +67,48 @@
 	}
 }
 
-// soakStrike is a fault that is played to its end.
+// faultScenario is a fault that runs to its end.
 type faultScenario struct {
 	name string
 	run  func()
 }
 
-// strikes are the faults that one is drawn from. Those that undo what was told come more often.
+// faultScenarios returns the faults to draw from. Those that may undo a drain notice are listed more often.
 func (env *soakEnvironment) faultScenarios(node *soakNode) []faultScenario {
 	return []faultScenario{
-		{"short", env.shortLinkFault},
-		{"spoilt", env.degradedAnswers},
-		{"late", env.lateAnswers},
-		{"late", env.lateAnswers},
-		{"late", env.lateAnswers},
-		{"brief", env.intermittentDiscovery},
-		{"unfinished", env.incompleteAnswers},
-		{"unfinished", env.incompleteAnswers},
-		{"unfinished", env.incompleteAnswers},
-		{"outdated", env.staleAnswers},
-		{"outdated", env.staleAnswers},
-		{"outdated", env.staleAnswers},
-		{"anew", env.restartVersions},
-		{"out of reach", func() { env.withUnreachableDiscovery(env.waitDuringOutage) }},
-		{"out of service", func() { env.withFailingDiscovery(env.waitDuringOutage) }},
-		{"servers", env.serverLinkFault},
-		{"servers", env.serverLinkFault},
+		{"short link fault", env.shortLinkFault},
+		{"degraded answers", env.degradedAnswers},
+		{"late answers", env.lateAnswers},
+		{"late answers", env.lateAnswers},
+		{"late answers", env.lateAnswers},
+		{"intermittent discovery", env.intermittentDiscovery},
+		{"incomplete answers", env.incompleteAnswers},
+		{"incomplete answers", env.incompleteAnswers},
+		{"incomplete answers", env.incompleteAnswers},
+		{"stale answers", env.staleAnswers},
+		{"stale answers", env.staleAnswers},
+		{"stale answers", env.staleAnswers},
+		{"versions restart", env.restartVersions},
+		{"discovery unreachable", func() { env.withUnreachableDiscovery(env.waitDuringOutage) }},
+		{"discovery failing", func() { env.withFailingDiscovery(env.waitDuringOutage) }},
+		{"server links", env.serverLinkFault},
+		{"server links", env.serverLinkFault},
 		{"kill", func() { env.restartNode(node, node.kill) }},
-		{"dump", func() { env.restartNode(node, node.dumpGoroutines) }},
+		{"goroutine dump", func() { env.restartNode(node, node.dumpGoroutines) }},
 		{"terminate", func() { env.restartNode(node, func() { node.terminate() }) }},
 		{"terminate", func() { env.restartNode(node, func() { node.terminate(syscall.SIGTERM, syscall.SIGHUP) }) }},
 		{"terminate", func() { env.restartNode(node, func() { node.signal(syscall.SIGHUP); node.terminate() }) }},
-		{"kill, out of reach", func() { env.restartDuringOutage(node, env.withUnreachableDiscovery) }},
-		{"kill, out of service", func() { env.restartDuringOutage(node, env.withFailingDiscovery) }},
+		{"kill, discovery unreachable", func() { env.restartDuringOutage(node, env.withUnreachableDiscovery) }},
+		{"kill, discovery failing", func() { env.restartDuringOutage(node, env.withFailingDiscovery) }},
 		{"reload", func() { env.reloadNode(node) }},
 		{"reload", func() { env.reloadNode(node) }},
-		{"reloads", func() { env.reloadInSeries(node) }},
-		{"reloads", func() { env.reloadInSeries(node) }},
+		{"series of reloads", func() { env.reloadInSeries(node) }},
+		{"series of reloads", func() { env.reloadInSeries(node) }},
 		{"pause", node.pause},
 	}
 }
 
-// strike plays one fault to its end.
+// runRandomFault draws a fault and runs it to its end.
 func (env *soakEnvironment) runRandomFault(node *soakNode) {
 	scenarios := env.faultScenarios(node)
 	scenario := scenarios[env.rng.IntN(len(scenarios))]
@@ -117,7 +117,8 @@
 	node.checkResources()
 }
 
-// hides runs what keeps an agent's news from a node. One service that is asked may be late by toldAfter.
+// countAsAgentOutage runs a fault. In pushed mode its duration counts as an outage, since an agent's changes do not
+// reach the node; in on-request mode changes may be late by maxListAge anyway.
 func (env *soakEnvironment) countAsAgentOutage(fault func()) {
 	if env.isPushed {
 		env.recordOutageStart(time.Now())
@@ -126,7 +127,7 @@
 	fault()
 }
 
-// short is a fault of the link that is over soon: it does not make what it hides count as told later.
+// shortLinkFault sets a short fault of the link to discovery. In on-request mode it postpones no deadline.
 func (env *soakEnvironment) shortLinkFault() {
 	address := env.configuredAddress()
 	fault := standin.LinkDelays + standin.LinkFault(env.rng.IntN(int(standin.LinkDropsData)))
@@ -136,18 +137,18 @@
 		sleepFor(env.rng, 100*time.Millisecond, time.Second)
 		env.setLinkFault(address, standin.LinkHealthy)
 	})
-	env.recordEvent("link to discovery: whole")
-	time.Sleep(maxListAge / 2) // it strikes once in that time
+	env.recordEvent("link to discovery: healthy")
+	time.Sleep(maxListAge / 2) // keeps these faults at least this far apart
 }
 
-// soakFault is a fault of discovery with its name.
+// namedFault is a fault of discovery with its name.
 type namedFault struct {
 	name  string
 	fault standin.Fault
 }
 
-// late is a discovery that can be reached all the time and whose answers take up to 5 s, with failures between,
-// while servers are told to drain. A large fleet has less time for it.
+// lateAnswers has servers drain while discovery stays reachable but its answers take up to 5 s, in some cases with
+// failed calls in between. Answers to a large fleet take up to 1 s, since it tolerates less delay.
 func (env *soakEnvironment) lateAnswers() {
 	maxDelay := 5 * time.Second
 	if env.fleetSize > soakSmallFleetMaxNodes {
@@ -171,7 +172,7 @@
 	})
 }
 
-// brief is a discovery that is there for 1 to 3 s at a time, while servers are told to drain.
+// intermittentDiscovery has servers drain while discovery is reachable for 1 to 3 s at a time.
 func (env *soakEnvironment) intermittentDiscovery() {
 	for range 3 {
 		env.withUnreachableDiscovery(func() {
@@ -182,19 +183,19 @@
 	}
 }
 
-// spoilt is a discovery that is slow, or spoils some of its answers, for a long time.
+// degradedAnswers has discovery be slow, refuse some calls or spoil some of its answers for 3 to 10 s.
 func (env *soakEnvironment) degradedAnswers() {
 	env.withDiscoveryFault([]namedFault{
 		{"calls late by 1 s", standin.DelayedCalls(time.Second)},
 		{"answers late by 2 s", standin.DelayedAnswers(2 * time.Second)},
 		{"answers in pieces", standin.Pieces(3, 300*time.Millisecond)},
 		{"refuses every other call", standin.AllButEveryNth(2, standin.Unavailable)},
-		{"cuts two of three answers", standin.AllButEveryNth(3, standin.Truncated)},
-		{"spoils every other answer", standin.AllButEveryNth(2, standin.Malformed)},
+		{"truncates two of three answers", standin.AllButEveryNth(3, standin.Truncated)},
+		{"malformed text in every other answer", standin.AllButEveryNth(2, standin.Malformed)},
 	}, func() { sleepFor(env.rng, 3*time.Second, 10*time.Second) })
 }
 
-// unfinished is a discovery whose answers are not whole for some time or ever, while servers are told to drain.
+// incompleteAnswers has servers drain while discovery's answers are complete late or never.
 func (env *soakEnvironment) incompleteAnswers() {
 	lateRest := standin.Framing{Delimiter: standin.Chunked, RestDelay: 2 * time.Second}
 	entryByEntry := standin.Framing{Delimiter: standin.Chunked, EntryPerPiece: true, Pause: 200 * time.Millisecond}
@@ -204,10 +205,10 @@
 	env.withDiscoveryFault([]namedFault{
 		{"the rest of answers comes late", standin.Framed(lateRest)},
 		{"the rest of every other answer comes late", standin.AllButEveryNth(2, standin.Framed(lateRest))},
-		{"answers line by line", standin.Framed(entryByEntry)},
+		{"answers entry by entry", standin.Framed(entryByEntry)},
 		{"answers in pieces that never end", standin.Framed(endless)},
-		{"cuts every other answer behind a line", standin.AllButEveryNth(2, standin.Framed(resetAfterOne))},
-		{"cuts every other answer behind three lines", standin.AllButEveryNth(2, standin.Framed(resetAfterThree))},
+		{"resets every other answer after one entry", standin.AllButEveryNth(2, standin.Framed(resetAfterOne))},
+		{"resets every other answer after three entries", standin.AllButEveryNth(2, standin.Framed(resetAfterThree))},
 	}, func() {
 		for range 3 {
 			sleepFor(env.rng, 500*time.Millisecond, 2*time.Second)
@@ -217,7 +218,7 @@
 	})
 }
 
-// play plays one of some faults of discovery, while something happens.
+// withDiscoveryFault draws one of the faults of discovery and runs meanwhile under it.
 func (env *soakEnvironment) withDiscoveryFault(faults []namedFault, meanwhile func()) {
 	fault := faults[env.rng.IntN(len(faults))]
 	replica := env.configuredAddress().replica
@@ -227,10 +228,10 @@
 		meanwhile()
 		replica.SetFault(nil)
 	})
-	env.recordEvent("discovery: well")
+	env.recordEvent("discovery: no fault")
 }
 
-// outdated is a discovery that answers some calls from before, while servers are told to drain.
+// staleAnswers has servers drain while discovery answers some calls with a state from before.
 func (env *soakEnvironment) staleAnswers() {
 	patterns := []standin.StalePattern{{Count: 1, Period: 2}, {Count: 2, Period: 4}, {Count: 2, Period: 3}, {Count: 3, Period: 5}}
 	pattern := patterns[env.rng.IntN(len(patterns))]
@@ -249,30 +250,30 @@
 	env.recordEvent("no stale calls")
 }
 
-// anew has the versions of discovery start anew: its connections break.
+// restartVersions restarts the versions of discovery, which breaks its connections.
 func (env *soakEnvironment) restartVersions() {
-	env.recordEvent("versions start anew")
+	env.recordEvent("discovery restarts its versions")
 	env.countAsAgentOutage(func() {
 		env.configuredAddress().replica.Restart()
 		sleepFor(env.rng, time.Second, 2*time.Second)
 	})
 }
 
-// pass is what happens during an outage where nothing else does.
+// waitDuringOutage sleeps for 3 to 12 s, the duration of an outage during which nothing else happens.
 func (env *soakEnvironment) waitDuringOutage() { sleepFor(env.rng, 3*time.Second, 12*time.Second) }
 
-// outOfService is a discovery that answers nothing, or nothing whole, while something happens.
+// withFailingDiscovery runs meanwhile while discovery answers no call, or none completely.
 func (env *soakEnvironment) withFailingDiscovery(meanwhile func()) {
 	faults := []namedFault{
-		{"refuses", standin.Unavailable}, {"resets", standin.Reset}, {"says nothing", standin.NoAnswer},
-		{"sends heads", standin.HeadersOnly}, {"stalls", standin.Stalled}, {"is crowded", standin.UnavailableAfter(time.Second)},
-		{"cuts all answers behind a line", standin.Framed(standin.Framing{Delimiter: standin.Chunked, ResetAfterEntries: 1})},
-		{"cuts all answers behind two lines", standin.Framed(standin.Framing{ResetAfterEntries: 2})},
+		{"refuses", standin.Unavailable}, {"resets", standin.Reset}, {"never answers", standin.NoAnswer},
+		{"sends headers only", standin.HeadersOnly}, {"stalls", standin.Stalled}, {"refuses after 1 s", standin.UnavailableAfter(time.Second)},
+		{"resets all answers after one entry", standin.Framed(standin.Framing{Delimiter: standin.Chunked, ResetAfterEntries: 1})},
+		{"resets all answers after two entries", standin.Framed(standin.Framing{ResetAfterEntries: 2})},
 	}
 	fault := faults[env.rng.IntN(len(faults))]
 	replica := env.configuredAddress().replica
 	env.recordOutageStart(time.Now())
-	env.recordEvent("discovery out of service: %s", fault.name)
+	env.recordEvent("discovery fails: %s", fault.name)
 	replica.SetFault(fault.fault)
 	meanwhile()
 	replica.SetFault(nil)
@@ -280,12 +281,12 @@
 	env.recordOutageEnd(time.Now())
 }
 
-// outOfReach is a link that can't be used, while something happens.
+// withUnreachableDiscovery runs meanwhile while the link to discovery cannot be used.
 func (env *soakEnvironment) withUnreachableDiscovery(meanwhile func()) {
 	address := env.configuredAddress()
 	env.recordOutageStart(time.Now())
 	fault := []standin.LinkFault{standin.LinkResets, standin.LinkDropsData, standin.LinkTruncates}[env.rng.IntN(3)]
-	env.recordEvent("outage of discovery: %v", fault)
+	env.recordEvent("discovery unreachable: link %v", fault)
 	env.setLinkFault(address, fault)
 	meanwhile()
 	env.setLinkFault(address, standin.LinkHealthy)
@@ -293,7 +294,7 @@
 	env.recordOutageEnd(time.Now())
 }
 
-// serverLink is a fault of the links to half of the servers, one of those that stay among them.
+// serverLinkFault sets a fault of the links to half of the servers, among them one of the two that stay.
 func (env *soakEnvironment) serverLinkFault() {
 	fault := []standin.LinkFault{
 		standin.LinkDelays, standin.LinkTruncates, standin.LinkCloses, standin.LinkResets, standin.LinkDropsData,
@@ -306,39 +307,39 @@
 	for _, link := range env.serverLinks {
 		link.SetFault(standin.LinkHealthy)
 	}
-	env.recordEvent("links to servers: whole")
+	env.recordEvent("links to servers: healthy")
 }
 
-// restart ends the node and starts it again with the list of before.
+// restartNode ends the process and starts another one with the list from before the end.
 func (env *soakEnvironment) restartNode(node *soakNode, end func()) {
 	knownList := env.configuredAddress().replica.KnownList()
 	sleepFor(env.rng, 0, time.Second)
-	env.recordEvent("the node is ended")
+	env.recordEvent("the process is ended")
 	end()
-	sleepFor(env.rng, 0, 2*maxListAge) // what changes meanwhile may count as told before the start
-	env.recordEvent("the node starts")
-	node.start(knownList, syscall.SIGHUP) // with nothing new
-	env.recordEvent("the node is ready")
+	sleepFor(env.rng, 0, 2*maxListAge) // the new process may have to know changes of this time at once
+	env.recordEvent("a process starts")
+	node.start(knownList, syscall.SIGHUP) // the configuration has not changed
+	env.recordEvent("the process is ready")
 }
 
-// restartUnder restarts the node while discovery can't be reached. Some of the list that it has to start
-// with counts as told to be otherwise before.
+// restartDuringOutage kills the process and starts another one while discovery cannot be reached. The list that the
+// new process starts with may be older than changes that the former one had to know.
 func (env *soakEnvironment) restartDuringOutage(node *soakNode, outage func(meanwhile func())) {
 	knownList := env.configuredAddress().replica.KnownList()
 	sleepFor(env.rng, time.Second, maxListAge+3*time.Second)
 	outage(func() {
 		sleepFor(env.rng, 0, time.Second)
-		env.recordEvent("the node is killed")
+		env.recordEvent("the process is killed")
 		node.kill()
 		sleepFor(env.rng, 0, 2*time.Second)
-		env.recordEvent("the node starts")
+		env.recordEvent("a process starts")
 		node.start(knownList)
-		env.recordEvent("the node is ready")
+		env.recordEvent("the process is ready")
 		sleepFor(env.rng, time.Second, 4*time.Second)
 	})
 }
 
-// another gives an address that the configuration does not name, and makes it reachable.
+// otherAddress returns an address that the configuration does not name, with a healthy link.
 func (env *soakEnvironment) otherAddress() *soakAddress {
 	configuredNumber := env.configuredAddress().number
 	next := env.addresses[(configuredNumber+1+env.rng.IntN(len(env.addresses)-1))%len(env.addresses)]
@@ -346,7 +347,7 @@
 	return next
 }
 
-// leave has a server drain that is in service, and gives the node the time to hear of it.
+// drainServer has a server in service drain, and gives the node time to learn of it.
 func (env *soakEnvironment) drainServer() {
 	offset := env.rng.IntN(soakServerCount - 2)
 	for i := range soakServerCount - 2 {
@@ -359,8 +360,8 @@
 	sleepFor(env.rng, 300*time.Millisecond, 1200*time.Millisecond)
 }
 
-// reload names another address where a server has just been told to drain; the file may be whole only some
-// time after the signal.
+// reloadNode changes the configured address just after a server's drain. In half of the cases the file is
+// truncated at the signal and complete only some time later.
 func (env *soakEnvironment) reloadNode(node *soakNode) {
 	env.drainServer()
 	next := env.otherAddress()
@@ -383,8 +384,8 @@
 	env.finishReload(reloadedAt)
 }
 
-// reloads names other addresses one soon after the other, also those of before, where a server has just
-// been told to drain.
+// reloadInSeries changes the configured address several times in quick succession just after a server's drain, also
+// back to former addresses.
 func (env *soakEnvironment) reloadInSeries(node *soakNode) {
 	env.drainServer()
 	reloadedAt := time.Now()
@@ -399,9 +400,10 @@
 	env.finishReload(reloadedAt)
 }
 
-// moved notes a new configuration; the other addresses close some time after it.
+// finishReload records a change of the configured address, and closes the other addresses some time after it.
 func (env *soakEnvironment) finishReload(reloadedAt time.Time) {
-	env.recordOutageStart(reloadedAt) // of an agent's news: it counts once the new address was heard
+	// Changes whose deadline has not passed count only once the new address has been heard from.
+	env.recordOutageStart(reloadedAt)
 	time.Sleep(time.Until(reloadedAt.Add(1500 * time.Millisecond)))
 	for _, address := range env.addresses {
 		if address != env.configuredAddress() {
--- a/cmd/otterstep/soak_node_test.go
+++ b/cmd/otterstep/soak_node_test.go
@@ -17,10 +17,11 @@
 	"otterstep/internal/standin"
 )
 
-// drainViolation is the text of the line that a node logs when it finds that it has sent past the grace.
+// drainViolationMessage is part of the message that a node logs when it finds that it has sent to a server past
+// the drain grace.
 const drainViolationMessage = "drain violation"
 
-// soakNode is the program and what was done to it.
+// soakNode runs the program as one process after another and records what clients may do with it.
 type soakNode struct {
 	env        *soakEnvironment
 	configPath string
@@ -30,18 +31,18 @@
 	cmd         *exec.Cmd
 	exited      chan error
 	log         processLog
-	mayConnect  bool // clients may connect
-	mayUseConns bool // clients may use the connections that they have
-	killCount   int  // of its life, a kill ends it
+	mayConnect  bool // whether clients may open connections
+	mayUseConns bool // whether clients may use the connections that they have
+	killCount   int  // number of processes that were ended without a drain
 	settings    map[string]any
 
-	lastPauseEnd time.Time     // the latest hold-up,
-	pauseOverrun time.Duration // and by how much it was longer than it was to be
+	lastPauseEnd time.Time     // end of the latest suspension
+	pauseOverrun time.Duration // time by which the latest suspension exceeded soakPauseDuration
 
-	peak soakPeakUsage // of the timeline alone
+	peak soakPeakUsage // used by the timeline only
 }
 
-// write puts the configuration in place in one step.
+// writeConfig replaces the configuration file atomically.
 func (n *soakNode) writeConfig(discoveryAddr string, knownList standin.List) {
 	text, err := json.Marshal(map[string]any{
 		"name": "n0", "listen": n.addr, "discovery": discoveryAddr, "seed": "8c1f30d27a5be964", "known": knownList,
@@ -56,8 +57,7 @@
 	}
 }
 
-// start starts the program with a list of before and waits until it is ready; signals of a series come
-// meanwhile.
+// start starts the program with a known list, sends it the signals once it answers, and waits until it is ready.
 func (n *soakNode) start(knownList standin.List, signalsDuringStart ...os.Signal) {
 	n.writeConfig(n.env.configuredAddress().link.Addr(), knownList)
 	n.env.recordProcessStart(knownList)
@@ -80,7 +80,7 @@
 			if resp.StatusCode == http.StatusOK {
 				break
 			}
-			if !isListening { // it handles signals from now on
+			if !isListening { // the process handles signals from now on
 				isListening = true
 				for _, sig := range signalsDuringStart {
 					n.signal(sig)
@@ -95,20 +95,21 @@
 	n.setClientAccess(true, true)
 }
 
+// setClientAccess sets whether clients may open connections and use those that they have.
 func (n *soakNode) setClientAccess(mayConnect, mayUseConns bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.mayConnect, n.mayUseConns = mayConnect, mayUseConns
 }
 
-// signal sends the process a signal.
+// signal sends a signal to the process.
 func (n *soakNode) signal(sig os.Signal) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cmd.Process.Signal(sig)
 }
 
-// pause stops the process for as long as a node may be held up. On a busy machine it may take longer.
+// pause suspends the process for as long as the rules allow, on a busy machine perhaps longer.
 func (n *soakNode) pause() {
 	startedAt := time.Now()
 	n.signal(syscall.SIGSTOP)
@@ -120,7 +121,7 @@
 	n.pauseOverrun = n.lastPauseEnd.Sub(startedAt) - soakPauseDuration
 }
 
-// overduePause is by how much the process was held up for too long since a time.
+// pauseOverrunSince returns the time by which the latest suspension was too long, zero if it ended before since.
 func (n *soakNode) pauseOverrunSince(since time.Time) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -130,21 +131,21 @@
 	return n.pauseOverrun
 }
 
-// kill ends the process at once: what was open is lost, and nobody's fault.
+// kill ends the process at once. The loss of open requests is no violation then.
 func (n *soakNode) kill() { n.endAtOnce(os.Kill) }
 
-// dump ends the process at once, with its goroutines in its log, and checks their number.
+// dumpGoroutines ends the process at once, has it dump its goroutines into its log, and checks their number.
 func (n *soakNode) dumpGoroutines() {
 	n.endAtOnce(syscall.SIGQUIT)
 	count := n.log.removeGoroutineDump()
 	n.peak.goroutines = max(n.peak.goroutines, count)
-	n.env.recordEvent("%d goroutines", count)
+	n.env.recordEvent("the process has %d goroutines", count)
 	if count == 0 || count > soakGoroutineLimit {
-		n.env.recordViolation(violationResources, "%d goroutines", count)
+		n.env.recordViolation(violationResources, "the process has %d goroutines", count)
 	}
 }
 
-// end ends the process with a signal that it does not handle.
+// endAtOnce ends the process with a signal that it does not handle.
 func (n *soakNode) endAtOnce(sig os.Signal) {
 	n.mu.Lock()
 	n.mayConnect, n.mayUseConns = false, false
@@ -154,9 +155,9 @@
 	<-n.exited
 }
 
-// terminate ends the process as a planned restart does: clients connect for 0.3 s more, use what
-// connections they have up to the kill, and the kill comes as early as it may: later by as much as a hold-up
-// of the process was longer than one may be.
+// terminate ends the process as a planned restart does, with SIGTERM and further signals. Clients open
+// connections for 0.3 s more and use those that they have until the kill. The kill comes as early as the rules
+// allow; it is delayed by the time by which a suspension of the process was too long.
 func (n *soakNode) terminate(furtherSignals ...os.Signal) {
 	signalledAt := time.Now()
 	n.signal(syscall.SIGTERM)
@@ -169,7 +170,7 @@
 	select {
 	case err := <-n.exited:
 		if err != nil {
-			n.env.recordViolation(violationProcess, "ended after SIGTERM with %v", err)
+			n.env.recordViolation(violationProcess, "the process ended after SIGTERM with %v", err)
 		}
 	case <-time.After(time.Until(signalledAt.Add(minKillDelay))):
 		time.Sleep(n.pauseOverrunSince(signalledAt))
@@ -179,14 +180,15 @@
 	n.setClientAccess(false, false)
 }
 
-// life tells whether clients may connect and use connections, and in which life the node is.
+// clientAccess returns whether clients may open connections and use those that they have, and the number of
+// processes that were ended without a drain.
 func (n *soakNode) clientAccess() (mayConnect, mayUseConns bool, killCount int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.mayConnect, n.mayUseConns, n.killCount
 }
 
-// crowd holds connections that say nothing, and makes them anew when they are closed.
+// holdSilentConns holds connections that send nothing, and replaces them one after the other.
 func (n *soakNode) holdSilentConns(ctx context.Context) {
 	conns := make([]net.Conn, soakSilentConnCount)
 	defer func() {
@@ -208,21 +210,21 @@
 	}
 }
 
-// listOverdue is the text of the line that a node logs when its list is older than the rules allow.
+// listOverdueMessage is part of the message that a node logs when its list is older than the rules allow.
 const listOverdueMessage = "the list is overdue"
 
-// checkLog checks what the processes have logged. They have ended.
+// checkLog checks what the processes have logged. It is called after their end.
 func (n *soakNode) checkLog() {
 	n.checkListOverdue()
 	for line := range strings.Lines(n.log.String()) {
 		if strings.Contains(line, drainViolationMessage) && strings.Contains(line, "level=ERROR") {
-			n.env.recordViolation(violationLogged, "the node logs: %s", strings.TrimSpace(line))
+			n.env.recordViolation(violationLogged, "the node logged: %s", strings.TrimSpace(line))
 		}
 	}
 }
 
-// checkOverdue checks that the list of a node in a small fleet was overdue only where discovery could not be reached,
-// or had just been reached again, within the time that the rules allow.
+// checkListOverdue checks that the list of a node in a small fleet was overdue only while discovery could not be
+// reached, or within the time that the rules allow after the end of an outage or the start of a process.
 func (n *soakNode) checkListOverdue() {
 	env := n.env
 	if env.isPushed || env.fleetSize > soakSmallFleetMaxNodes {
@@ -236,7 +238,7 @@
 		timestamp, _, _ := strings.Cut(strings.TrimPrefix(line, "time="), " ")
 		loggedAt, err := time.Parse(time.RFC3339Nano, timestamp)
 		if err != nil {
-			env.t.Errorf("a line of the log has no time: %s", line)
+			env.t.Errorf("log line without a valid time: %s", line)
 			continue
 		}
 		isExcused := slices.ContainsFunc(env.pastOutages, func(outage soakOutage) bool {
@@ -245,7 +247,7 @@
 			return startedAt.Before(loggedAt) && startedAt.Add(excuseDuration).After(loggedAt)
 		})
 		if !isExcused {
-			env.recordViolation(violationOverdue, "discovery could be reached, and the node logs: %s", strings.TrimSpace(line))
+			env.recordViolation(violationOverdue, "discovery could be reached, but the node logged: %s", strings.TrimSpace(line))
 		}
 	}
 }
--- a/cmd/otterstep/soak_resources_test.go
+++ b/cmd/otterstep/soak_resources_test.go
@@ -7,27 +7,27 @@
 	"strings"
 )
 
-// What one process may take. The limit of memory is that of its configuration; a program that is built to
-// find races takes some times as much.
+// The resource limits of one process. The memory limit is that of its configuration; a program that is built with
+// the race detector takes several times as much.
 const (
 	soakMemoryLimitMB  = 192
 	soakSocketLimit    = 256
 	soakGoroutineLimit = 4 * soakSocketLimit
 )
 
-// soakPeak is the most that the processes of a seed took.
+// soakPeakUsage is the highest resource usage of the processes of a seed.
 type soakPeakUsage struct {
 	residentMB  int
 	descriptors int
-	goroutines  int // of those that dumped them
+	goroutines  int // counted only for processes that were ended with a dump
 }
 
-// String words it.
+// String implements fmt.Stringer.
 func (p soakPeakUsage) String() string {
 	return fmt.Sprintf("at most %d MB, %d descriptors, %d goroutines", p.residentMB, p.descriptors, p.goroutines)
 }
 
-// checkResources checks what the present process takes.
+// checkResources checks the memory and descriptors of the present process.
 func (n *soakNode) checkResources() {
 	n.mu.Lock()
 	pid := n.cmd.Process.Pid
@@ -50,7 +50,7 @@
 	}
 }
 
-// residentMB is the memory of a process.
+// residentMB returns the resident memory of a process in MiB.
 func residentMB(pid int) (int, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -62,5 +62,5 @@
 			return residentKiB >> 10, err
 		}
 	}
-	return 0, fmt.Errorf("process %d tells no VmRSS", pid)
+	return 0, fmt.Errorf("/proc/%d/status has no VmRSS line", pid)
 }
--- a/cmd/otterstep/soak_test.go
+++ b/cmd/otterstep/soak_test.go
@@ -16,43 +16,57 @@
 	"otterstep/internal/standin"
 )
 
-// The soak plays the program against stand-ins for discovery, servers and clients while faults strike on
-// a seeded timeline: discovery that is slow, refuses, spoils answers, tells what was before or counts its
-// versions anew; several addresses of it that lag behind one another; links to discovery and to servers;
-// signals one by one and in series, stops of the process, kills with a list that is old at the next start,
-// also while discovery is away; half written configurations; servers that drain, leave and come back, with
-// and without a new start. Answers come in all forms meanwhile. Clients use open connections up to the
-// kill, which comes as early as it may; in some runs a crowd fills the descriptors. It checks the rules on
-// every request.
+// The soak runs the program against stand-ins for discovery, servers and clients, injects faults on a seeded
+// timeline and checks the rules on every request. The faults are:
+//   - Discovery is slow, refuses calls, sends malformed or stale answers, or restarts its versions.
+//   - The addresses of discovery lag behind one another.
+//   - The links to discovery and to servers delay, drop or reset connections.
+//   - The process gets signals one by one and in series, is suspended, or is killed and starts again with an
+//     old list, also while discovery is down.
+//   - The configuration file is half written for some time.
+//   - Servers drain, leave and return, with and without a new start.
+//
+// Meanwhile discovery frames its answers in many ways. Clients use open connections until the process is
+// killed, which happens as early as the rules allow. In some runs silent connections fill the descriptors.
 
 const (
-	soakSeedCountVariable = "OTTERSTEP_SOAK_SEEDS"  // how many seeds are played, soakCI where it is not set
-	soakFirstSeedVariable = "OTTERSTEP_SOAK_FIRST"  // the first of them
-	soakDefaultSeedCount  = 4                       // seeds: one pushed among them
-	soakFaultCount        = 9                       // of a timeline
-	soakServerCount       = 6                       // that are listed
-	soakAddressCount      = 3                       // of discovery
-	soakClientCount       = 6                       // that ask at once
-	soakSilentConnCount   = 150                     // connections that say nothing, in some runs
-	soakTimeLeft          = 1200 * time.Millisecond // that a client waits
-	soakSchedulingSlack   = 500 * time.Millisecond  // for a busy machine, beyond what the rules allow
-	soakMaxLinkDelay      = 250 * time.Millisecond  // by which a link may delay what it passes on
-	soakPauseDuration     = 150 * time.Millisecond  // for which a process may be held up
-	soakMaxLag            = 5 * time.Second         // by which an address of discovery lags at most
-
-	soakMinReachableTime   = 3 * time.Second // for which discovery is there at least in which a small fleet hears it
-	soakSmallFleetMaxNodes = 8               // nodes of a fleet, at most, that are judged by how old their list is
-
-	drainGrace            = 300 * time.Millisecond
-	maxListAge            = 6 * time.Second // discovery had it and could be reached
+	soakSeedCountVariable = "OTTERSTEP_SOAK_SEEDS"  // number of seeds to run; soakDefaultSeedCount if unset
+	soakFirstSeedVariable = "OTTERSTEP_SOAK_FIRST"  // first seed to run; 1 if unset
+	soakDefaultSeedCount  = 4                       // includes one seed in pushed mode
+	soakFaultCount        = 9                       // faults in the timeline of one seed
+	soakServerCount       = 6                       // servers in the list
+	soakAddressCount      = 3                       // addresses of discovery
+	soakClientCount       = 6                       // concurrent clients
+	soakSilentConnCount   = 150                     // silent connections in the runs that have them
+	soakTimeLeft          = 1200 * time.Millisecond // time that a client gives the node for a request
+	soakSchedulingSlack   = 500 * time.Millisecond  // added to the limits of the rules for a busy machine
+	soakMaxLinkDelay      = 250 * time.Millisecond  // longest delay that a link adds
+	soakPauseDuration     = 150 * time.Millisecond  // duration of a suspension, the longest that a node has to tolerate
+	soakMaxLag            = 5 * time.Second         // upper bound for the lag of an address of discovery
+
+	// soakMinReachableTime is the time with reachable discovery that suffices for a small fleet to learn of a change.
+	soakMinReachableTime = 3 * time.Second
+
+	// soakSmallFleetMaxNodes is the number of nodes in the largest fleet whose lists are checked for their age.
+	soakSmallFleetMaxNodes = 8
+
+	// drainGrace is the time for which a node may go on sending to a server after a drain notice.
+	drainGrace = 300 * time.Millisecond
+
+	// maxListAge is the time within which a node has to know a change that reachable discovery has.
+	maxListAge = 6 * time.Second
+
+	// maxAddressChangeDelay is the time within which a node has to know the list of a newly configured address.
 	maxAddressChangeDelay = 4 * time.Second
-	minKillDelay          = soakTimeLeft + 700*time.Millisecond // SIGTERM, at the earliest
+
+	// minKillDelay is the shortest time from SIGTERM to the kill.
+	minKillDelay = soakTimeLeft + 700*time.Millisecond
 )
 
-// soakUID names a server.
+// soakServerUID returns the UID of a server.
 func soakServerUID(number int) string { return fmt.Sprint("s-", number) }
 
-// newSoakWorld starts the stand-ins.
+// newSoakEnvironment starts the stand-ins.
 func newSoakEnvironment(t *testing.T, seed uint64) *soakEnvironment {
 	env := &soakEnvironment{
 		t: t, rng: rand.New(rand.NewPCG(seed, 1)), requests: map[string]*soakRequest{}, isPushed: seed%3 == 2,
@@ -74,7 +88,7 @@
 	return env
 }
 
-// addAddress starts another address of discovery.
+// addAddress starts another address of discovery, behind a link.
 func (env *soakEnvironment) addAddress(number int, lag time.Duration) {
 	address := &soakAddress{number: number, lag: lag}
 	address.replica = env.history.NewReplica(lag, env.rng.IntN(50), &soakObserver{env: env, address: address})
@@ -83,7 +97,7 @@
 	env.addresses = append(env.addresses, address)
 }
 
-// newSoakNode gives the program its settings; it is not started yet.
+// newSoakNode returns a node with its settings. The program is not started yet.
 func newSoakNode(env *soakEnvironment, seed uint64) *soakNode {
 	mode := "on_request"
 	if env.isPushed {
@@ -100,7 +114,7 @@
 	return &soakNode{env: env, addr: freeAddress(env.t), configPath: filepath.Join(env.t.TempDir(), "config.json"), settings: settings}
 }
 
-// soak plays the timeline of a seed.
+// runSoak runs the timeline of a seed.
 func runSoak(t *testing.T, seed uint64) {
 	env := newSoakEnvironment(t, seed)
 	node := newSoakNode(env, seed)
@@ -128,25 +142,25 @@
 	cancel()
 	background.Wait()
 	if servedCount.Load() < 100 {
-		env.recordViolation(violationTooFewServed, "%d requests were served", servedCount.Load())
+		env.recordViolation(violationTooFewServed, "only %d requests were served", servedCount.Load())
 	}
 	node.checkLog()
 	env.reportResult(seed, node)
 }
 
-// report tells what was found in the timeline of a seed.
+// reportResult logs the faults of a seed and fails the test if there are violations.
 func (env *soakEnvironment) reportResult(seed uint64, node *soakNode) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
-	env.t.Logf("seed %d played: %s; %d requests; %s", seed, strings.Join(env.appliedFaults, ", "), len(env.requests), node.peak)
+	env.t.Logf("seed %d: faults: %s; %d requests; %s", seed, strings.Join(env.appliedFaults, ", "), len(env.requests), node.peak)
 	if len(env.violations) == 0 {
 		return
 	}
-	env.t.Errorf("seed %d: %d problems:\n%s", seed, len(env.violations), strings.Join(env.summarizeViolations(), "\n"))
+	env.t.Errorf("seed %d: %d violations:\n%s", seed, len(env.violations), strings.Join(env.summarizeViolations(), "\n"))
 	env.t.Logf("the timeline:\n%s\nthe node's log:\n%s", strings.Join(env.timeline, "\n"), &node.log)
 }
 
-// TestSoak plays a few seeds, or as many as the environment asks for.
+// TestSoak runs soakDefaultSeedCount seeds, or as many as the environment variable says.
 func TestSoak(t *testing.T) {
 	seedCount, firstSeed := uint64(soakDefaultSeedCount), uint64(1)
 	for name, value := range map[string]*uint64{soakSeedCountVariable: &seedCount, soakFirstSeedVariable: &firstSeed} {
--- a/cmd/otterstep/soak_problems_test.go
+++ b/cmd/otterstep/soak_violations_test.go
@@ -5,49 +5,49 @@
 	"time"
 )
 
-// soakBreak is what a soak may find to be wrong.
+// soakViolationKind is a kind of violation that the soak reports.
 type soakViolationKind string
 
-// What a soak may find to be wrong.
+// The kinds of violations.
 const (
-	violationDrain        soakViolationKind = "drain"              // sent to a server that counts as told to be out
-	violationWritten      soakViolationKind = "drain, written"     // sent to a server that was written to be out
-	violationUnconfirmed  soakViolationKind = "drain, unconfirmed" // sent before an agent had answered the process
-	violationLogged       soakViolationKind = "drain, logged"      // the node says so itself
-	violationOverdue      soakViolationKind = "drain, overdue"     // the list of a node is too old, as it says itself
-	violationLost         soakViolationKind = "lost"               // a request without its final answer
-	violationDuplicate    soakViolationKind = "duplicate"          // a request that ran twice
-	violationDeadline     soakViolationKind = "deadline"           // a server is told more time than there is
-	violationAnswer       soakViolationKind = "answer"             // an answer or a request that is of nobody
-	violationTooFewServed soakViolationKind = "served"             // too few requests
-	violationProcess      soakViolationKind = "process"            // not ready in time, or ended badly
-	violationResources    soakViolationKind = "memory"             // memory, goroutines, descriptors
+	violationDrain        soakViolationKind = "drain"              // request to a server that the node has to know is out
+	violationWritten      soakViolationKind = "drain, written"     // request to a server that was written to the process as out
+	violationUnconfirmed  soakViolationKind = "drain, unconfirmed" // request before the agent's first whole answer to the process
+	violationLogged       soakViolationKind = "drain, logged"      // drain violation that the node logs itself
+	violationOverdue      soakViolationKind = "drain, overdue"     // overdue list that the node logs while discovery is reachable
+	violationLost         soakViolationKind = "lost"               // request without a final answer in time
+	violationDuplicate    soakViolationKind = "duplicate"          // request that a server received twice
+	violationDeadline     soakViolationKind = "deadline"           // request that states more time than its client has left
+	violationAnswer       soakViolationKind = "answer"             // answer to another request, or request that no client sent
+	violationTooFewServed soakViolationKind = "served"             // too few requests were served
+	violationProcess      soakViolationKind = "process"            // process that is late to be ready or exits with an error
+	violationResources    soakViolationKind = "memory"             // too much memory, or too many goroutines or descriptors
 )
 
-// soakProblem is one thing that was wrong.
+// soakViolation is a violation that the soak has found.
 type soakViolation struct {
 	kind    soakViolationKind
 	message string
 }
 
-// stamped words an event with its time.
+// withTimestamp formats a text and prepends the present time.
 func withTimestamp(format string, args ...any) string {
 	return time.Now().UTC().Format("15:04:05.000 ") + fmt.Sprintf(format, args...)
 }
 
-// problem keeps what was wrong.
+// recordViolation records a violation.
 func (env *soakEnvironment) recordViolation(kind soakViolationKind, format string, args ...any) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	env.recordViolationLocked(kind, format, args...)
 }
 
-// found is problem for a caller that holds the lock.
+// recordViolationLocked is recordViolation for a caller that holds env.mu.
 func (env *soakEnvironment) recordViolationLocked(kind soakViolationKind, format string, args ...any) {
 	env.violations = append(env.violations, soakViolation{kind: kind, message: withTimestamp(format, args...)})
 }
 
-// firstProblems words the first few problems of each kind, and how many there are. The lock is held.
+// summarizeViolations returns the first few violations of each kind, and how many there are. The caller holds env.mu.
 func (env *soakEnvironment) summarizeViolations() (lines []string) {
 	const maxShown = 5
 	count := map[soakViolationKind]int{}
