--- a/cmd/otterstep/soak_violations_test.go
+++ b/cmd/otterstep/soak_violations_test.go
@@ -16,7 +16,7 @@
 	violationLogged       soakViolationKind = "drain, logged"      // drain violation that the node logs itself
 	violationOverdue      soakViolationKind = "drain, overdue"     // overdue list that the node logs while discovery is reachable
 	violationLost         soakViolationKind = "lost"               // request without a final answer in time
-	violationDuplicate    soakViolationKind = "duplicate"          // request that a server received twice
+	violationDuplicate    soakViolationKind = "duplicate"          // POST request that servers received more than once
 	violationDeadline     soakViolationKind = "deadline"           // request that states more time than its client has left
 	violationAnswer       soakViolationKind = "answer"             // answer to another request, or request that no client sent
 	violationTooFewServed soakViolationKind = "served"             // too few requests were served
