--- a/cmd/otterstep/descriptors_test.go
+++ b/cmd/otterstep/descriptors_test.go
@@ -14,9 +14,10 @@
 	"time"
 )
 
-// Guards the descriptors that discovery and servers need: idle clients may hold all there are
-// for clients while discovery is down, and the node follows it and serves at its return. The
-// program runs under the limit that its configuration names.
+// TestIdleClientsLeaveDescriptorsForDiscovery guards against running out of file descriptors for discovery and
+// servers: idle clients may hold all descriptors that are meant for clients while discovery is down, and when
+// discovery returns, the node has to take its list and serve. The program runs with a descriptor limit equal to the
+// sockets limit of its configuration.
 func TestIdleClientsLeaveDescriptorsForDiscovery(t *testing.T) {
 	const socketLimit = 64
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -31,7 +32,7 @@
 		defer listener.Close()
 		return listener.Addr().String()
 	}
-	addr, discoveryAddr := unusedAddr(), unusedAddr() // nobody listens there so far
+	addr, discoveryAddr := unusedAddr(), unusedAddr() // nothing listens at either address yet
 	cmd := programCommand(writeConfig(t, func(c map[string]any) {
 		c["listen"], c["discovery"] = addr, discoveryAddr
 		c["limits"] = map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": socketLimit}
@@ -46,7 +47,7 @@
 	stop := func() { limitedCmd.Process.Kill(); limitedCmd.Wait() }
 	defer stop()
 
-	statusOf := func(conn net.Conn) (code int, err error) {
+	requestStatus := func(conn net.Conn) (code int, err error) {
 		if _, err := fmt.Fprintf(conn, "POST /book/x HTTP/1.1\r\nHost: api\r\nX-Correlation-Id: %s\r\nX-Service-Class: book\r\n"+
 			"X-Time-Left: 1.0\r\nContent-Length: 1\r\n\r\nb", conn.LocalAddr()); err != nil {
 			return 0, err
@@ -64,11 +65,11 @@
 		for end := time.Now().Add(20 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(end) {
 				stop()
-				t.Fatalf("no %s: %s", what, &stderr)
+				t.Fatalf("waited 20 s for %s; the node's log: %s", what, &stderr)
 			}
 		}
 	}
-	awaitCondition("node that is up", func() bool {
+	awaitCondition("the node to be ready", func() bool {
 		resp, err := http.Get("http://" + addr + "/up")
 		if err != nil {
 			return false
@@ -76,7 +77,7 @@
 		resp.Body.Close()
 		return resp.StatusCode == http.StatusOK
 	})
-	// Some have asked before they rest, the others never say a word.
+	// One client in eight sends a request and then stays idle; the others send nothing.
 	for i := range 3 * socketLimit {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -84,27 +85,28 @@
 		}
 		defer conn.Close()
 		if i%8 == 0 {
-			if code, err := statusOf(conn); err != nil || code != http.StatusServiceUnavailable {
-				t.Fatalf("client %d: answered %d, %v with no server known; want 503", i, code, err)
+			if code, err := requestStatus(conn); err != nil || code != http.StatusServiceUnavailable {
+				t.Fatalf("client %d: status %d, error %v while no server is known; want 503", i, code, err)
 			}
 		}
 	}
 
-	// The last client's answer shows that all were taken in turn as far as they will be.
+	// The node accepts connections in order, so the answer to the last client shows that it has dealt with all others.
 	lastConn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer lastConn.Close()
-	if code, err := statusOf(lastConn); err != nil || code != http.StatusServiceUnavailable {
-		t.Fatalf("the last client: answered %d, %v; want 503", code, err)
+	if code, err := requestStatus(lastConn); err != nil || code != http.StatusServiceUnavailable {
+		t.Fatalf("the last client: status %d, error %v; want 503", code, err)
 	}
 	openDescriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", limitedCmd.Process.Pid))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(openDescriptors) > socketLimit*2/3 {
-		t.Errorf("%d of %d descriptors are open while discovery is down and no server is known", len(openDescriptors), socketLimit)
+		t.Errorf("%d of %d descriptors are open while discovery is down and no server is known, want two thirds at most",
+			len(openDescriptors), socketLimit)
 	}
 
 	listener, err := net.Listen("tcp", discoveryAddr)
@@ -127,17 +129,17 @@
 	discovery.Listener = listener
 	discovery.Start()
 	defer discovery.Close()
-	awaitCondition("answer of a server", func() bool {
+	awaitCondition("an answer from a server", func() bool {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			return false
 		}
 		defer conn.Close()
-		code, err := statusOf(conn)
+		code, err := requestStatus(conn)
 		return err == nil && code == http.StatusOK
 	})
 	stop()
 	if strings.Contains(stderr.String(), "too many open files") {
-		t.Errorf("the descriptors ran out: %s", &stderr)
+		t.Errorf("the node ran out of descriptors: %s", &stderr)
 	}
 }
--- a/cmd/otterstep/held_up_test.go
+++ b/cmd/otterstep/held_up_test.go
@@ -10,13 +10,15 @@
 	"otterstep/internal/standin"
 )
 
-// A node that is held up as it is told to end owes its answers before the kill all the same, and the kill
-// counts from the signal. The request comes late, on an open connection, and its server never answers.
+// TestNodePausedAtSIGTERMAnswersBeforeTheKill guards against losing requests at a shutdown when the process is paused
+// while SIGTERM arrives: the node has to give all answers before the kill, whose time counts from the signal and not
+// from when the node handles it. The request that could be lost comes late, on an open connection, and its server
+// never answers it.
 func TestNodePausedAtSIGTERMAnswersBeforeTheKill(t *testing.T) {
 	t.Parallel()
 	const (
-		lateRequestDelay = 2 * time.Second                              // of the signal
-		killDelay        = 2500*time.Millisecond + 700*time.Millisecond // after it, at the earliest
+		lateRequestDelay = 2 * time.Second                              // time from SIGTERM to the late request
+		killDelay        = 2500*time.Millisecond + 700*time.Millisecond // minimum time from SIGTERM to the kill
 	)
 	server := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet && r.Header.Get("X-Correlation-Id") == lateRequestID {
@@ -35,7 +37,7 @@
 	p.cmd.Process.Signal(syscall.SIGCONT)
 	lateResult := make(chan error, 1)
 	for i := 0; time.Since(signalledAt) < lateRequestDelay; i++ {
-		if !sendRequest(&p.client, p.addr, i) { // the connection stays open
+		if !sendRequest(&p.client, p.addr, i) { // keeps the connection open
 			t.Errorf("request %d is not served", i)
 		}
 	}
@@ -43,14 +45,15 @@
 	time.Sleep(time.Until(signalledAt.Add(killDelay)))
 	p.cmd.Process.Signal(os.Kill)
 	if err := <-lateResult; err != nil {
-		t.Errorf("a request taken before the kill is lost: %v", err)
+		t.Errorf("a request that the node accepted before the kill got no answer: %v", err)
 	}
 }
 
-// lateRequest is the id of the request that its server never answers.
+// lateRequestID is the correlation id of the request that its server never answers.
 const lateRequestID = "late"
 
-// askLate sends that request, and tells whether some answer comes.
+// sendLateRequest sends the request that its server never answers, and returns an error if the node gives no
+// answer.
 func sendLateRequest(client *http.Client, addr string) error {
 	r, err := http.NewRequest(http.MethodGet, "http://"+addr+"/read/k", nil)
 	if err != nil {
--- a/cmd/otterstep/large_test.go
+++ b/cmd/otterstep/large_test.go
@@ -21,18 +21,18 @@
 )
 
 const (
-	requestsPerSecond = 132  // a second, at the node under test
-	largeFleetSize    = 5300 // that share the servers, as the settings say
+	requestsPerSecond = 132  // rate of requests to the node under test
+	largeFleetSize    = 5300 // number of nodes in the settings; they share the servers
 	nodeSocketLimit   = 1024
-	// farmListeners bounds the listeners that stand in for the listed servers. Where more
-	// are listed, several share one, and the count of servers met is an estimate.
+	// maxServerListeners limits the listeners of the fake servers. Where more servers are listed, several share a
+	// listener, and the number of reached servers is an estimate.
 	maxServerListeners = 8192
-	// longLoad is the environment variable that turns the test at full size on; it holds the
-	// duration of the load.
+	// loadDurationVariable is the environment variable that enables the test at full size; its value is the duration
+	// of the load.
 	loadDurationVariable = "OTTERSTEP_LARGE"
 )
 
-// farm is a set of servers that answer at once. It notes which of them were met.
+// fakeServers is a set of servers that answer at once. It records which of them got requests.
 type fakeServers struct {
 	server       http.Server
 	addrs        []string
@@ -40,6 +40,7 @@
 	reachedAddrs map[string]bool
 }
 
+// newFakeServers starts servers with the given number of listeners.
 func newFakeServers(t *testing.T, listenerCount int) *fakeServers {
 	t.Helper()
 	s := &fakeServers{reachedAddrs: map[string]bool{}}
@@ -55,6 +56,7 @@
 	return s
 }
 
+// ServeHTTP implements http.Handler.
 func (s *fakeServers) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	s.reachedAddrs[r.Context().Value(http.LocalAddrContextKey).(net.Addr).String()] = true
@@ -62,23 +64,24 @@
 	io.WriteString(w, r.Header.Get("X-Correlation-Id"))
 }
 
-// servers is how many servers were met: exact where each has a listener of its own.
+// reachedCount returns how many servers got requests. It is exact where each server has its own listener.
 func (s *fakeServers) reachedCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.reachedAddrs)
 }
 
-// largeDiscovery lists many servers, and changes one at the end of each watch.
+// largeDiscovery is a discovery service with many servers that changes one entry at the end of each watch.
 type largeDiscovery struct {
-	entries        []string // one a server
+	entries        []string // JSON text of one entry per server
 	wholeList      []byte
-	wholeListCalls atomic.Int64 // whole lists that were called for
-	bytesWritten   atomic.Int64 // written
+	wholeListCalls atomic.Int64 // number of calls for the whole list
+	bytesWritten   atomic.Int64 // bytes of all answers
 	listAccepted   chan struct{}
 	acceptedOnce   sync.Once
 }
 
+// newLargeDiscovery returns a service that lists the given number of servers at the addresses of the fake servers.
 func newLargeDiscovery(serverCount int, servers *fakeServers) *largeDiscovery {
 	d := &largeDiscovery{listAccepted: make(chan struct{})}
 	for i := range serverCount {
@@ -89,6 +92,7 @@
 	return d
 }
 
+// ServeHTTP implements http.Handler.
 func (d *largeDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if !r.URL.Query().Has("since") {
 		d.wholeListCalls.Add(1)
@@ -96,7 +100,7 @@
 		d.bytesWritten.Add(int64(n))
 		return
 	}
-	d.acceptedOnce.Do(func() { close(d.listAccepted) }) // who watches has taken the list
+	d.acceptedOnce.Do(func() { close(d.listAccepted) }) // a node that watches has accepted the list
 	since, _ := strconv.Atoi(r.URL.Query().Get("since"))
 	wait, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
 	select {
@@ -108,29 +112,31 @@
 	d.bytesWritten.Add(int64(n))
 }
 
-// figures are what a node before many servers was measured at.
+// nodeMeasurement is what was measured of a node with a given number of servers.
 type nodeMeasurement struct {
 	servers, requests, served      int
-	p50, p99                       time.Duration // at the client
-	startCPUTime, loadCPUTime      time.Duration // of the processor: until the list was taken, and under load
-	residentKiB, peakResidentKiB   int           // KiB
+	p50, p99                       time.Duration // latencies measured by the client
+	startCPUTime, loadCPUTime      time.Duration // CPU time until the list was accepted, and under load
+	residentKiB, peakResidentKiB   int           // resident memory after the load, and its peak
 	reachedServers                 int
-	wholeListCalls, discoveryBytes int64
+	wholeListCalls, discoveryBytes int64 // calls for the whole list, and bytes of all of discovery's answers
 }
 
+// String describes the measurement for the test's log.
 func (m nodeMeasurement) String() string {
-	return fmt.Sprintf("%d servers: %d requests, %.2f%% answered 200, p50 %v, p99 %v, processor %v to take the list and %v "+
-		"under load, resident %.1f MB (peak %.1f MB), %d servers met, %d whole lists, %.1f MB from discovery",
+	return fmt.Sprintf("%d servers: %d requests, %.2f%% answered 200, p50 %v, p99 %v, CPU time %v to accept the list and %v "+
+		"under load, resident %.1f MB (peak %.1f MB), %d servers reached, %d whole lists, %.1f MB from discovery",
 		m.servers, m.requests, 100*m.servedShare(), m.p50, m.p99, m.startCPUTime, m.loadCPUTime,
 		float64(m.residentKiB)/1024, float64(m.peakResidentKiB)/1024, m.reachedServers, m.wholeListCalls, float64(m.discoveryBytes)/1e6)
 }
 
+// servedShare returns the share of requests that were served.
 func (m nodeMeasurement) servedShare() float64 {
 	return float64(m.served) / float64(max(1, m.requests))
 }
 
-// measureNode runs the program before so many servers, has it take the list, and then puts
-// the load on it. Where discovery is asked, the node finds the list in its configuration.
+// measureNode runs the program with a list of the given length, waits until it has accepted the list, and applies the
+// load. Where lists are given on request, the node also has the list in its configuration.
 func measureNode(t *testing.T, serverCount int, onRequest bool, loadDuration time.Duration) nodeMeasurement {
 	t.Helper()
 	servers := newFakeServers(t, min(serverCount, maxServerListeners))
@@ -143,19 +149,25 @@
 	select {
 	case <-discovery.listAccepted:
 	case <-time.After(time.Minute):
-		t.Fatalf("%d servers: the list was not taken after %d calls", serverCount, discovery.wholeListCalls.Load())
+		t.Fatalf("%d servers: the node has not accepted the list after a minute and %d calls for it",
+			serverCount, discovery.wholeListCalls.Load())
 	}
 	startCPUTime := processCPUTime(t, node.Process.Pid)
 	result := applyLoad(addr, loadDuration)
 	result.servers, result.startCPUTime = serverCount, startCPUTime
 	result.loadCPUTime = processCPUTime(t, node.Process.Pid) - startCPUTime
-	result.residentKiB, result.peakResidentKiB = processMemoryKiB(t, node.Process.Pid, "VmRSS:"), processMemoryKiB(t, node.Process.Pid, "VmHWM:")
-	result.reachedServers, result.wholeListCalls, result.discoveryBytes = servers.reachedCount(), discovery.wholeListCalls.Load(), discovery.bytesWritten.Load()
+	result.residentKiB, result.peakResidentKiB =
+		processMemoryKiB(t, node.Process.Pid, "VmRSS:"), processMemoryKiB(t, node.Process.Pid, "VmHWM:")
+	result.reachedServers, result.wholeListCalls, result.discoveryBytes =
+		servers.reachedCount(), discovery.wholeListCalls.Load(), discovery.bytesWritten.Load()
 	return result
 }
 
-// startLargeNode starts the program with the settings of a large fleet.
-func startLargeFleetNode(t *testing.T, discoveryAddr string, onRequest bool, knownList []byte) (node *exec.Cmd, addr string, stop func()) {
+// startLargeFleetNode starts the program with the settings of a large fleet on one CPU core, with the descriptor limit
+// of its configuration.
+func startLargeFleetNode(
+	t *testing.T, discoveryAddr string, onRequest bool, knownList []byte,
+) (node *exec.Cmd, addr string, stop func()) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -177,7 +189,7 @@
 		}
 	}))
 	node = exec.Command("sh", "-c", fmt.Sprintf(`ulimit -n %d && exec "$0"`, nodeSocketLimit), os.Args[0])
-	node.Env = append(cmd.Env, "GOMAXPROCS=1") // as on the one core of its limits
+	node.Env = append(cmd.Env, "GOMAXPROCS=1") // the limits of its configuration allow one core
 	var stderr bytes.Buffer
 	node.Stderr = &stderr
 	if err := node.Start(); err != nil {
@@ -192,7 +204,7 @@
 	}
 }
 
-// putLoad sends requests at an even rate, whether or not those before were answered.
+// applyLoad sends requests at a constant rate, whether or not earlier ones were answered.
 func applyLoad(addr string, duration time.Duration) (result nodeMeasurement) {
 	transport := &http.Transport{MaxIdleConnsPerHost: 64}
 	defer transport.CloseIdleConnections()
@@ -219,7 +231,7 @@
 	}
 }
 
-// ask sends one request and tells whether it was served.
+// sendRequest sends one request and reports whether it was served.
 func sendRequest(client *http.Client, addr string, number int) bool {
 	r, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://%s/read/k%d", addr, number), nil)
 	if err != nil {
@@ -238,24 +250,24 @@
 	return err == nil && resp.StatusCode == http.StatusOK && string(body) == id
 }
 
-// processorTime is what a process has used so far, in the kernel's ticks of 10 ms.
+// processCPUTime returns the CPU time that a process has used so far, with the resolution of the kernel's ticks of 10 ms.
 func processCPUTime(t *testing.T, pid int) time.Duration {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, rest, _ := strings.Cut(string(text), ") ") // behind the program's name
+	_, rest, _ := strings.Cut(string(text), ") ") // the fields after the program's name
 	fields := strings.Fields(rest)
 	userTicks, err1 := strconv.Atoi(fields[11])
 	systemTicks, err2 := strconv.Atoi(fields[12])
 	if err1 != nil || err2 != nil {
-		t.Fatalf("processor time of %q", text)
+		t.Fatalf("no CPU time in %q", text)
 	}
 	return time.Duration(userTicks+systemTicks) * 10 * time.Millisecond
 }
 
-// memory gives a line of a process's memory in KiB.
+// processMemoryKiB returns a field of a process's memory status, such as "VmRSS:", in KiB.
 func processMemoryKiB(t *testing.T, pid int, field string) int {
 	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
@@ -265,48 +277,49 @@
 	_, rest, _ := strings.Cut(string(text), field)
 	kib, err := strconv.Atoi(strings.Fields(rest + " none")[0])
 	if err != nil {
-		t.Fatalf("%s %v", field, err)
+		t.Fatalf("memory status field %s: %v", field, err)
 	}
 	return kib
 }
 
-// A node before few servers serves all, from the one whole list that it calls for.
+// TestNodeServesFromAListOfServers guards against requests that are not served with a short list, and against calling
+// for the whole list more than once.
 func TestNodeServesFromAListOfServers(t *testing.T) {
 	measured := measureNode(t, 20, false, time.Second)
 	t.Log(measured)
 	if measured.served != measured.requests || measured.reachedServers == 0 || measured.wholeListCalls != 1 {
-		t.Errorf("want each request served, from one whole list: %v", measured)
+		t.Errorf("want every request served, and one whole list: %v", measured)
 	}
 }
 
-// What a node before very many servers may cost, beside one before few.
+// The limits of what a node with very many servers may cost, compared with a node with few servers.
 const (
 	fewServers          = 500
 	manyServers         = 55_000
 	minServedShare      = 0.999
-	maxCostRatio        = 2.0      // of p99 and of the processor's time
-	maxExtraMemoryKiB   = 32 << 10 // KiB more
+	maxCostRatio        = 2.0      // ratio of p99 latencies and of CPU times under load
+	maxExtraMemoryKiB   = 32 << 10 // additional resident memory
 	maxReachedServers   = 600
 	maxWholeListCalls   = 2
 	rounds              = 3
-	requiredDescriptors = maxServerListeners + 2048 // of this test
+	requiredDescriptors = maxServerListeners + 2048 // descriptors of the test process
 )
 
-// Guards the node's cost where very many servers are listed. It runs only where the
-// environment variable asks for it.
+// TestNodeCostWithVeryManyServers guards against latency, CPU time, memory and traffic that grow with the number of
+// listed servers. It runs only where the environment variable OTTERSTEP_LARGE is set to the duration of the load.
 func TestNodeCostWithVeryManyServers(t *testing.T) {
 	loadDuration, err := time.ParseDuration(os.Getenv(loadDurationVariable))
 	if err != nil {
-		t.Skipf("%s holds no duration for the load, such as 10s", loadDurationVariable)
+		t.Skipf("%s is not set to the duration of the load, such as 10s", loadDurationVariable)
 	}
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur < requiredDescriptors {
 		t.Skipf("the test needs %d descriptors, the limit is %d, %v", requiredDescriptors, limit.Cur, err)
 	}
-	for mode, onRequest := range map[string]bool{"pushed": false, "asked": true} {
+	for mode, onRequest := range map[string]bool{"pushed": false, "on request": true} {
 		t.Run(mode, func(t *testing.T) {
 			var few, many nodeMeasurement
-			for range rounds { // in turn, as a busy machine changes by the minute
+			for range rounds { // alternating, because the load of a busy machine changes by the minute
 				few.merge(t, measureNode(t, fewServers, onRequest, loadDuration))
 				many.merge(t, measureNode(t, manyServers, onRequest, loadDuration))
 			}
@@ -315,8 +328,8 @@
 	}
 }
 
-// merge takes in one more round: the least time, as what else runs only adds to it, and the
-// most of all other costs.
+// merge adds one more round: it keeps the shortest times, because other processes on the machine only lengthen them, and
+// the maximum of all other costs.
 func (m *nodeMeasurement) merge(t *testing.T, round nodeMeasurement) {
 	t.Helper()
 	t.Log(round)
@@ -326,28 +339,29 @@
 	}
 	m.requests, m.served = m.requests+round.requests, m.served+round.served
 	m.p99, m.loadCPUTime = min(m.p99, round.p99), min(m.loadCPUTime, round.loadCPUTime)
-	m.residentKiB, m.reachedServers, m.wholeListCalls = max(m.residentKiB, round.residentKiB), max(m.reachedServers, round.reachedServers), max(m.wholeListCalls, round.wholeListCalls)
+	m.residentKiB, m.reachedServers, m.wholeListCalls = max(m.residentKiB, round.residentKiB),
+		max(m.reachedServers, round.reachedServers), max(m.wholeListCalls, round.wholeListCalls)
 }
 
-// compare checks what a node before many servers costs beside one before few.
+// requireSimilarCost checks that a node with many servers costs little more than a node with few.
 func (m nodeMeasurement) requireSimilarCost(t *testing.T, few nodeMeasurement) {
 	t.Helper()
 	if m.servedShare() < minServedShare {
-		t.Errorf("%.2f%% answered 200, want %.1f%%", 100*m.servedShare(), 100*minServedShare)
+		t.Errorf("%.2f%% of the requests answered 200, want %.1f%% at least", 100*m.servedShare(), 100*minServedShare)
 	}
 	if ratio := float64(m.p99) / float64(few.p99); ratio > maxCostRatio {
-		t.Errorf("p99 is %.1f times that before %d servers, want %.0f", ratio, few.servers, maxCostRatio)
+		t.Errorf("p99 is %.1f times that with %d servers, want %.0f times at most", ratio, few.servers, maxCostRatio)
 	}
 	if ratio := float64(m.loadCPUTime) / float64(few.loadCPUTime); ratio > maxCostRatio {
-		t.Errorf("processor time is %.1f times that before %d servers, want %.0f", ratio, few.servers, maxCostRatio)
+		t.Errorf("CPU time under load is %.1f times that with %d servers, want %.0f times at most", ratio, few.servers, maxCostRatio)
 	}
 	if extraKiB := m.residentKiB - few.residentKiB; extraKiB > maxExtraMemoryKiB {
-		t.Errorf("%d KiB more memory than before %d servers, want %d", extraKiB, few.servers, maxExtraMemoryKiB)
+		t.Errorf("%d KiB more memory than with %d servers, want %d KiB at most", extraKiB, few.servers, maxExtraMemoryKiB)
 	}
 	if m.reachedServers > maxReachedServers {
-		t.Errorf("%d servers met, want %d at most", m.reachedServers, maxReachedServers)
+		t.Errorf("%d servers reached, want %d at most", m.reachedServers, maxReachedServers)
 	}
 	if m.wholeListCalls > maxWholeListCalls {
-		t.Errorf("%d whole lists called for, want %d at most", m.wholeListCalls, maxWholeListCalls)
+		t.Errorf("%d calls for the whole list, want %d at most", m.wholeListCalls, maxWholeListCalls)
 	}
 }
--- a/cmd/otterstep/late_answers_test.go
+++ b/cmd/otterstep/late_answers_test.go
@@ -8,24 +8,28 @@
 	"otterstep/internal/standin"
 )
 
-// missedFaults strike from a change on that open watches miss, while discovery can be reached all the time.
+// missedChangeFaults begin at the instant of a change that open watches miss. Discovery can be reached all the time.
 var missedChangeFaults = []discoveryFaultCase{
 	{name: "each answer takes 4 s", newFault: withMissedChange(standin.DelayedAnswers(4 * time.Second))},
 	{name: "each answer takes 5 s", newFault: withMissedChange(standin.DelayedAnswers(5 * time.Second))},
 	{name: "each answer comes in 50 pieces over 5 s", newFault: withMissedChange(standin.Pieces(50, 100*time.Millisecond))},
-	{name: "three of four calls are refused, answers take 2 s", newFault: withMissedChange(
+	{name: "three of four calls get a 503, answers take 2 s", newFault: withMissedChange(
 		standin.Unavailable, standin.Unavailable, standin.Unavailable, standin.DelayedAnswers(2*time.Second))},
 	{name: "answers take 2 s, two of three calls are reset instead", newFault: withMissedChange(
-		standin.After(2*time.Second, standin.Reset), standin.After(2*time.Second, standin.Reset), standin.DelayedAnswers(2*time.Second))},
-	{name: "answers take 3 s, every other call dies", newFault: withMissedChange(standin.NoAnswer, standin.DelayedAnswers(3*time.Second))},
+		standin.After(2*time.Second, standin.Reset), standin.After(2*time.Second, standin.Reset),
+		standin.DelayedAnswers(2*time.Second))},
+	{name: "answers take 3 s, every other call gets no answer", newFault: withMissedChange(
+		standin.NoAnswer, standin.DelayedAnswers(3*time.Second))},
 }
 
-// missed has calls struck by faults in turn, and watches that are open miss what changes.
+// withMissedChange returns a constructor of a fault: watches that are open when it begins miss what changes, and each
+// call meets the next of the given faults, in a cycle.
 func withMissedChange(faults ...standin.Fault) func() standin.Fault {
 	return func() standin.Fault { return standin.OpenWatchesMissChanges(standin.Cycle(faults...)) }
 }
 
-// Guards rule 3 where a watch misses a change and discovery answers late from then on, or fails some calls.
+// TestMissedChangeIsKnownInTimeThoughAnswersAreLate guards rule 3 (no request to a server that counts as known to be
+// out of service) where an open watch misses a change and discovery, from then on, answers late or fails some calls.
 func TestMissedChangeIsKnownInTimeThoughAnswersAreLate(t *testing.T) {
 	for _, fault := range missedChangeFaults {
 		t.Run(strings.ReplaceAll(fault.name, " ", "_"), func(t *testing.T) {
--- a/cmd/otterstep/late_discovery_test.go
+++ b/cmd/otterstep/late_discovery_test.go
@@ -15,58 +15,58 @@
 	"otterstep/internal/standin"
 )
 
-// What users saw: requests kept going to servers that were draining or gone, dozens of times, while
-// discovery was slow, crowded or failing, and long after it was well again.
+// These tests guard against an incident in which nodes kept sending requests to draining and gone servers, dozens of
+// times, while discovery was slow, overloaded or failing, and long after it had recovered.
 //
-// The order of events: servers left; calls to discovery came to nothing for some seconds (503, no answer,
-// an answer after more than 2 s, an answer that was cut); the nodes then asked seconds apart, or waited for
-// a call that was never answered, though discovery would have answered a new one at once.
+// Servers left while calls to discovery failed for some seconds: with 503, with no answer, with an answer after more
+// than 2 s, or with a truncated answer. After that the nodes called seconds apart, or waited for a call that was never
+// answered, although discovery would have answered a new call at once.
 //
-// The cause: limits and pauses of calls were made for hundreds of nodes before one service that answers in
-// 10 ms, and held for all. An answer after 2 s was thrown away and the next one, as late, too; nothing else
-// was asked while one call hung; failed calls were made again up to 5 s apart by a fleet of any size; and
-// the instant by which the list is due was forgotten once it had passed.
+// The timeouts and retry intervals of calls were made for hundreds of nodes and one service that answers in 10 ms, and
+// applied to every fleet. A node dropped an answer that took more than 2 s, and then the next one, which was as late.
+// It made no other call while one got no answer. Retries were up to 5 s apart whatever the fleet size. The deadline of
+// the list was forgotten once it had passed.
 //
-// What proved it: in the incident's log a node's call at 13.87 s was answered after 2.3 s, 0.06 s before the
-// list was due, while others that failed within 10 ms were followed by pauses that grew; each fault below
-// makes the program as it was send to a server that left for longer than the rules allow, most of them for good.
+// In the incident's log, a call at 13.87 s was answered after 2.3 s, 0.06 s before the list was due, while calls that
+// failed within 10 ms were followed by growing intervals. Under each fault below, the program of that time sent to
+// servers that had left for longer than the rules allow; under most of them it never stopped.
 
 const (
-	nodesPerFault         = 3                      // for each fault, as chance decides where in a call it strikes
-	faultFleetSize        = 8                      // nodes of the fleet, by their settings
-	faultLeavingServers   = 12                     // servers that leave, of lateLeavers+1
-	faultDrainGrace       = 300 * time.Millisecond // drain grace of the settings
-	faultTolerance        = 50 * time.Millisecond  // that the rules add to each limit
+	nodesPerFault         = 3                      // several nodes, because the fault meets each at a random moment
+	faultFleetSize        = 8                      // number of nodes in the settings
+	faultLeavingServers   = 12                     // unused: goneServerCount servers leave
+	faultDrainGrace       = 300 * time.Millisecond // drain grace in the settings
+	faultTolerance        = 50 * time.Millisecond  // what the rules add to each limit
 	configurationsPerNode = 5
-	watchesBeforeFault    = 3 // that go on from one to the next before a fault that begins with one
+	watchesBeforeFault    = 3 // number of watches to wait for before a fault that begins with a watch
 
-	faultSchedulingSlack = 250 * time.Millisecond // for a busy machine
+	faultSchedulingSlack = 250 * time.Millisecond // allowance for a busy machine
 	watchSettleTime      = 1500 * time.Millisecond
 )
 
-// lateFault is something that happens to discovery at the instant at which servers leave.
+// discoveryFaultCase is a fault of discovery that begins at the instant at which servers leave.
 type discoveryFaultCase struct {
 	name        string
 	newFault    func() standin.Fault
-	duration    time.Duration // 0: to the end
-	isPushed    bool          // lists are pushed by an agent; else one service is asked
-	withReloads bool          // new configurations come one after the other, with the fault
-	atNodeStart bool          // the nodes start with the fault, and with the list of before
+	duration    time.Duration // duration of the fault; 0: to the end of the test
+	isPushed    bool          // an agent pushes lists; otherwise one service gives them on request
+	withReloads bool          // new configurations follow one another during the fault
+	atNodeStart bool          // the nodes start when the fault begins, with the list from before the change
 
-	atWatchStart bool // it begins as a watch does: the next one would come as late as may be
+	atWatchStart bool // the fault begins when a watch begins, so that the next watch is as far away as possible
 }
 
-// always is a fault that strikes each call alike.
+// everyCall returns a constructor of a fault that affects every call.
 func everyCall(fault standin.Fault) func() standin.Fault {
 	return func() standin.Fault { return fault }
 }
 
-// allBut is a fault that strikes all calls of a node but every nth.
+// allButEveryNth returns a constructor of a fault that affects all calls of a node but every nth.
 func allButEveryNth(nth int, fault standin.Fault) func() standin.Fault {
 	return func() standin.Fault { return standin.AllButEveryNth(nth, fault) }
 }
 
-// allowed is how long after the instant a node may still send to servers that left.
+// maxSendDelay returns how long after the change a node may still send to servers that left.
 func (c discoveryFaultCase) maxSendDelay() time.Duration {
 	maxNoticeDelay := maxListAge
 	switch {
@@ -80,58 +80,65 @@
 	return maxNoticeDelay + faultDrainGrace + faultTolerance + faultSchedulingSlack
 }
 
+// discoveryFaultCases are the faults under which nodes have to know a change in time.
 var discoveryFaultCases = []discoveryFaultCase{
-	{name: "asked, calls come late by 2.5 s", newFault: everyCall(standin.DelayedCalls(2500 * time.Millisecond))},
-	{name: "asked, calls come late by 5 s", newFault: everyCall(standin.DelayedCalls(5 * time.Second))},
-	{name: "asked, answers come late by 2.5 s", newFault: everyCall(standin.DelayedAnswers(2500 * time.Millisecond))},
-	{name: "asked, answers come late by 4 s", newFault: everyCall(standin.DelayedAnswers(4 * time.Second))},
-	{name: "asked, answers come late by 5.5 s", newFault: everyCall(standin.DelayedAnswers(5500 * time.Millisecond))},
-	{name: "asked, refuses for 12 s", newFault: everyCall(standin.Unavailable), duration: 12 * time.Second},
-	{name: "asked, resets for 75 s", newFault: everyCall(standin.Reset), duration: 75 * time.Second},
-	{name: "asked, says nothing for 12 s", newFault: everyCall(standin.NoAnswer), duration: 12 * time.Second},
-	{name: "asked, says nothing for 75 s", newFault: everyCall(standin.NoAnswer), duration: 75 * time.Second},
-	{name: "asked, refuses after 2 s for 75 s", newFault: everyCall(standin.UnavailableAfter(2 * time.Second)), duration: 75 * time.Second},
-	{name: "asked, refuses two of three calls", newFault: allButEveryNth(3, standin.Unavailable)},
-	{name: "asked, cuts three of four answers", newFault: allButEveryNth(4, standin.Truncated)},
-	{name: "asked, one of two calls dies", newFault: allButEveryNth(2, standin.NoAnswer)},
-	{name: "asked, answers in pieces", newFault: everyCall(standin.Pieces(4, 700*time.Millisecond))},
-	{name: "asked, new configurations, late calls", withReloads: true, newFault: everyCall(standin.DelayedCalls(1200 * time.Millisecond))},
-	{name: "asked, new configurations, refuses for 1.5 s", withReloads: true, newFault: everyCall(standin.Unavailable), duration: 1500 * time.Millisecond},
-	{name: "pushed, says nothing for 0.7 s", isPushed: true, newFault: everyCall(standin.NoAnswer), duration: 700 * time.Millisecond},
-	{name: "pushed, says nothing for 2 s", isPushed: true, newFault: everyCall(standin.NoAnswer), duration: 2 * time.Second},
-	{name: "pushed, says nothing for 6 s", isPushed: true, newFault: everyCall(standin.NoAnswer), duration: 6 * time.Second},
-	{name: "pushed, stalls for 4 s", isPushed: true, newFault: everyCall(standin.Stalled), duration: 4 * time.Second},
-	{name: "pushed, sends a head for 3 s", isPushed: true, newFault: everyCall(standin.HeadersOnly), duration: 3 * time.Second},
-	{name: "pushed, says nothing at the start for 7 s", isPushed: true, atNodeStart: true, newFault: everyCall(standin.NoAnswer), duration: 7 * time.Second},
-	{name: "asked, says nothing at the start for 7 s", atNodeStart: true, newFault: everyCall(standin.NoAnswer), duration: 7 * time.Second},
+	{name: "on request, calls delayed by 2.5 s", newFault: everyCall(standin.DelayedCalls(2500 * time.Millisecond))},
+	{name: "on request, calls delayed by 5 s", newFault: everyCall(standin.DelayedCalls(5 * time.Second))},
+	{name: "on request, answers delayed by 2.5 s", newFault: everyCall(standin.DelayedAnswers(2500 * time.Millisecond))},
+	{name: "on request, answers delayed by 4 s", newFault: everyCall(standin.DelayedAnswers(4 * time.Second))},
+	{name: "on request, answers delayed by 5.5 s", newFault: everyCall(standin.DelayedAnswers(5500 * time.Millisecond))},
+	{name: "on request, answers 503 for 12 s", newFault: everyCall(standin.Unavailable), duration: 12 * time.Second},
+	{name: "on request, resets for 75 s", newFault: everyCall(standin.Reset), duration: 75 * time.Second},
+	{name: "on request, no answers for 12 s", newFault: everyCall(standin.NoAnswer), duration: 12 * time.Second},
+	{name: "on request, no answers for 75 s", newFault: everyCall(standin.NoAnswer), duration: 75 * time.Second},
+	{name: "on request, answers 503 after 2 s for 75 s", newFault: everyCall(standin.UnavailableAfter(2 * time.Second)),
+		duration: 75 * time.Second},
+	{name: "on request, answers 503 to two of three calls", newFault: allButEveryNth(3, standin.Unavailable)},
+	{name: "on request, truncates three of four answers", newFault: allButEveryNth(4, standin.Truncated)},
+	{name: "on request, no answer to one of two calls", newFault: allButEveryNth(2, standin.NoAnswer)},
+	{name: "on request, answers in pieces", newFault: everyCall(standin.Pieces(4, 700*time.Millisecond))},
+	{name: "on request, new configurations, delayed calls", withReloads: true,
+		newFault: everyCall(standin.DelayedCalls(1200 * time.Millisecond))},
+	{name: "on request, new configurations, answers 503 for 1.5 s", withReloads: true,
+		newFault: everyCall(standin.Unavailable), duration: 1500 * time.Millisecond},
+	{name: "pushed, no answers for 0.7 s", isPushed: true, newFault: everyCall(standin.NoAnswer), duration: 700 * time.Millisecond},
+	{name: "pushed, no answers for 2 s", isPushed: true, newFault: everyCall(standin.NoAnswer), duration: 2 * time.Second},
+	{name: "pushed, no answers for 6 s", isPushed: true, newFault: everyCall(standin.NoAnswer), duration: 6 * time.Second},
+	{name: "pushed, answers stall for 4 s", isPushed: true, newFault: everyCall(standin.Stalled), duration: 4 * time.Second},
+	{name: "pushed, only headers for 3 s", isPushed: true, newFault: everyCall(standin.HeadersOnly), duration: 3 * time.Second},
+	{name: "pushed, no answers for 7 s from the start", isPushed: true, atNodeStart: true,
+		newFault: everyCall(standin.NoAnswer), duration: 7 * time.Second},
+	{name: "on request, no answers for 7 s from the start", atNodeStart: true,
+		newFault: everyCall(standin.NoAnswer), duration: 7 * time.Second},
 }
 
-// lateNode is one process of the program, with a client that asks it all the time.
+// loadedNode is one process of the program, with a client that sends requests to it all the time.
 type loadedNode struct {
 	nodeIndex  int
 	addr       string
-	proxies    []*standin.Proxy // addresses of discovery, one for each configuration
+	proxies    []*standin.Proxy // proxies to discovery; each configuration names another one
 	configPath string
 	cmd        *exec.Cmd
 	client     http.Client
 }
 
-// lateFleetRun is some nodes before one discovery, from which most servers leave at an instant.
+// discoveryFaultRun is a run of one case: some nodes, their discovery services, and servers most of which leave at one
+// instant.
 type discoveryFaultRun struct {
 	t           *testing.T
 	testCase    discoveryFaultCase
-	discoveries []*standin.Discovery // one for each node, so that a fault that counts calls strikes all alike
+	discoveries []*standin.Discovery // one for each node, so that a fault that counts calls treats all nodes alike
 	nodes       []*loadedNode
 
-	knownList any // the list of before
+	knownList any // list from before the change
 
 	mu              sync.Mutex
-	lastMisroutedAt map[string]time.Time // latest request to a server that left, by node
-	faultBeganAt    map[string]time.Time // when the servers left and the fault began, by node
-	served          atomic.Int64         // by the server that stays
+	lastMisroutedAt map[string]time.Time // time of the latest request to a leaving server, by node name
+	faultBeganAt    map[string]time.Time // time when the servers left and the fault began, by node name
+	served          atomic.Int64         // number of requests to the staying server
 }
 
-// server is one address of servers; requests to those that leave are noted by their node.
+// serverHandler returns the handler of the servers at one address. Requests to leaving servers are recorded by node.
 func (r *discoveryFaultRun) serverHandler(leaving bool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		id := request.Header.Get("X-Correlation-Id")
@@ -147,7 +154,7 @@
 	})
 }
 
-// start starts a node; its settings are those of a small fleet.
+// startNode starts a node with the settings of a small fleet.
 func (r *discoveryFaultRun) startNode(nodeIndex int) *loadedNode {
 	node := &loadedNode{nodeIndex: nodeIndex, addr: freeAddress(r.t), client: http.Client{Transport: &http.Transport{}}}
 	for range configurationsPerNode {
@@ -185,29 +192,29 @@
 	return node
 }
 
-// ask has a client ask a node over and over until the channel closes.
-func (run *discoveryFaultRun) sendRequests(node *loadedNode, done <-chan struct{}) {
+// sendRequests sends one request after the other to a node until the channel is closed.
+func (r *discoveryFaultRun) sendRequests(node *loadedNode, done <-chan struct{}) {
 	for i := 0; ; i++ {
 		select {
 		case <-done:
 			return
 		case <-time.After(10 * time.Millisecond):
 		}
-		r, err := http.NewRequest(http.MethodGet, "http://"+node.addr+"/read/k", nil)
+		request, err := http.NewRequest(http.MethodGet, "http://"+node.addr+"/read/k", nil)
 		if err != nil {
-			run.t.Error(err)
+			r.t.Error(err)
 			return
 		}
-		r.Header = http.Header{
+		request.Header = http.Header{
 			"X-Correlation-Id": {fmt.Sprintf("n%d-%d", node.nodeIndex, i)}, "X-Service-Class": {"read"}, "X-Time-Left": {"2.0"},
 		}
-		if resp, err := node.client.Do(r); err == nil {
+		if resp, err := node.client.Do(request); err == nil {
 			resp.Body.Close()
 		}
 	}
 }
 
-// reload names the other addresses of discovery one after the other.
+// reloadNodes reloads all nodes several times; each new configuration names the next address of discovery.
 func (r *discoveryFaultRun) reloadNodes() {
 	for i, pause := range []time.Duration{0, 300 * time.Millisecond, 400 * time.Millisecond, 900 * time.Millisecond} {
 		time.Sleep(pause)
@@ -225,7 +232,8 @@
 	}
 }
 
-// strike has servers leave and the fault begin, and gives when the last discovery was struck.
+// beginFault lets the servers leave and the fault begin at each discovery service, and returns a time at which it has
+// begun at all of them.
 func (r *discoveryFaultRun) beginFault(leavingAddr string) time.Time {
 	var faultsBegun sync.WaitGroup
 	for nodeIndex, discovery := range r.discoveries {
@@ -247,18 +255,22 @@
 	return time.Now()
 }
 
-// awaitCall waits for the next call to a discovery.
+// awaitNextCall waits for the next call to a discovery service.
 func (r *discoveryFaultRun) awaitNextCall(discovery *standin.Discovery) {
 	for calls, end := discovery.CallCount(), time.Now().Add(readyTimeout); discovery.CallCount() == calls; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Errorf("no call to discovery in %v", readyTimeout)
+			r.t.Errorf("no call to discovery within %v", readyTimeout)
 			return
 		}
 	}
 }
 
+// checkChangesUnderFault runs a case, and checks that no node sends to leaving servers for longer than allowed and that
+// requests are served.
 func checkChangesUnderFault(t *testing.T, fault discoveryFaultCase) {
-	run := &discoveryFaultRun{t: t, testCase: fault, lastMisroutedAt: map[string]time.Time{}, faultBeganAt: map[string]time.Time{}}
+	run := &discoveryFaultRun{
+		t: t, testCase: fault, lastMisroutedAt: map[string]time.Time{}, faultBeganAt: map[string]time.Time{},
+	}
 	stayingAddr, leavingAddr := startServer(t, run.serverHandler(false)), startServer(t, run.serverHandler(true))
 	entries := append(goneEntries(leavingAddr, standin.InService), newEntry("stays", stayingAddr, standin.InService))
 	for range nodesPerFault {
@@ -277,7 +289,7 @@
 	}
 	if !fault.atNodeStart {
 		startNodes()
-		time.Sleep(watchSettleTime) // watches are open, and where in their time is left to chance
+		time.Sleep(watchSettleTime) // open watches; how long they have been open is random
 	}
 	beganAt := run.beginFault(leavingAddr)
 	switch {
@@ -293,7 +305,7 @@
 		}
 	}
 	maxDelay := fault.maxSendDelay()
-	const extraObservation = time.Second // beyond what is allowed
+	const extraObservation = time.Second // time for which nodes are observed after the allowed delay
 	time.Sleep(time.Until(beganAt.Add(maxDelay + extraObservation)))
 	close(done)
 	clients.Wait()
@@ -301,16 +313,18 @@
 	defer run.mu.Unlock()
 	for nodeName, misroutedAt := range run.lastMisroutedAt {
 		if delay := misroutedAt.Sub(run.faultBeganAt[nodeName]); delay > maxDelay {
-			t.Errorf("%s sent to a server that left %v after the change, %v is allowed", nodeName, delay, maxDelay)
+			t.Errorf("%s still sent to a leaving server %v after the change, %v is allowed", nodeName, delay, maxDelay)
 		}
 	}
 	if run.served.Load() == 0 || !fault.atNodeStart && len(run.lastMisroutedAt) < nodesPerFault {
-		t.Errorf("%d requests at the server that stays, %d of %d nodes sent to those that left before", run.served.Load(), len(run.lastMisroutedAt), nodesPerFault)
+		t.Errorf("%d requests went to the staying server, and %d of %d nodes have sent to the leaving servers",
+			run.served.Load(), len(run.lastMisroutedAt), nodesPerFault)
 	}
 }
 
-// A change that discovery has is taken in the time that the rules allow, whatever happens to calls: by
-// 6 s after discovery could be reached, where an agent pushes lists at once, after a new configuration by 4 s.
+// TestChangesAreKnownInTimeThoughDiscoveryFails guards against nodes that learn of a change too late while calls to
+// discovery fail. The rules allow 6 s after discovery could be reached, no delay where an agent pushes lists, and 4 s
+// after a new configuration.
 func TestChangesAreKnownInTimeThoughDiscoveryFails(t *testing.T) {
 	for _, fault := range discoveryFaultCases {
 		t.Run(strings.ReplaceAll(fault.name, " ", "_"), func(t *testing.T) {
--- a/cmd/otterstep/main.go
+++ b/cmd/otterstep/main.go
@@ -1,6 +1,6 @@
-// Command otterstep is one load-balancing node. Its configuration is the file
-// that PROXY_CONFIG names; SIGHUP makes it read that file again, SIGTERM and SIGINT
-// make it drain and exit with 0. OTTERSTEP_LOG_LEVEL names the least level that is logged.
+// Command otterstep runs one load-balancing node. The environment variable PROXY_CONFIG names its
+// configuration file. On SIGHUP the node reads that file again; on SIGTERM or SIGINT it drains and exits
+// with code 0. OTTERSTEP_LOG_LEVEL sets the lowest level that is logged.
 package main
 
 import (
@@ -24,14 +24,17 @@
 	}
 }
 
+// run starts the node from the environment and returns when ctx is cancelled and the node has drained,
+// or with the error that keeps it from running.
 func run(ctx context.Context) error {
-	// From the first moment on, as an uncaught SIGHUP ends the process. One signal
-	// that waits stands for all: the file is read after it.
+	// SIGHUP is caught before anything else, because an uncaught SIGHUP ends the process. A buffer of one
+	// signal is enough: the file is read after the signal is received, so one reload covers all signals
+	// that arrived before it.
 	reloadSignals := make(chan os.Signal, 1)
 	signal.Notify(reloadSignals, syscall.SIGHUP)
 	path := os.Getenv("PROXY_CONFIG")
 	if path == "" {
-		return errors.New("configuration: PROXY_CONFIG names no file")
+		return errors.New("configuration: PROXY_CONFIG is empty or not set")
 	}
 	config, err := node.LoadConfig(path)
 	if err != nil {
@@ -45,7 +48,7 @@
 	return node.Run(ctx, config, node.ConfigReloader{Path: path, Signals: reloadSignals}, log)
 }
 
-// logLevel reads the least level that is logged: debug, info (where none is named), warn or error.
+// logLevel returns the lowest level that is logged: debug, info, warn or error. An empty name means info.
 func logLevel(name string) (level slog.Level, err error) {
 	if name == "" {
 		return slog.LevelInfo, nil
--- a/cmd/otterstep/main_test.go
+++ b/cmd/otterstep/main_test.go
@@ -20,7 +20,8 @@
 	"time"
 )
 
-// TestMain lets the test binary stand in for the program.
+// TestMain runs the program instead of the tests where OTTERSTEP_MAIN is 1, so that tests can start the test
+// binary as the program.
 func TestMain(m *testing.M) {
 	if os.Getenv("OTTERSTEP_MAIN") == "1" {
 		main()
@@ -29,12 +30,15 @@
 	os.Exit(m.Run())
 }
 
+// programCommand returns a command that runs the program with a configuration file.
 func programCommand(configPath string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "OTTERSTEP_MAIN=1", "PROXY_CONFIG="+configPath)
 	return cmd
 }
 
+// writeConfig writes a configuration for one class of requests, changed by the given function, to a temporary
+// file and returns its path.
 func writeConfig(t *testing.T, change func(map[string]any)) string {
 	t.Helper()
 	config := map[string]any{
@@ -58,20 +62,22 @@
 	return path
 }
 
+// TestInvalidConfigurationGivesOneErrorLine guards against starting with an invalid configuration, and against an
+// error that does not fit on one line or does not name the setting that is wrong.
 func TestInvalidConfigurationGivesOneErrorLine(t *testing.T) {
 	malformedPath := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(malformedPath, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for name, testCase := range map[string]struct{ path, wantText string }{
-		"none named": {"", "PROXY_CONFIG"},
-		"no file":    {filepath.Join(t.TempDir(), "none.json"), "none.json"},
-		"no JSON":    {malformedPath, "JSON"},
-		"listen":     {writeConfig(t, func(c map[string]any) { c["listen"] = "nowhere" }), "listen"},
-		"discovery":  {writeConfig(t, func(c map[string]any) { delete(c, "discovery") }), "discovery"},
-		"seed":       {writeConfig(t, func(c map[string]any) { c["seed"] = "xyz" }), "seed"},
-		"sockets":    {writeConfig(t, func(c map[string]any) { c["limits"] = map[string]any{"sockets": 3} }), "sockets"},
-		"settings":   {writeConfig(t, func(c map[string]any) { delete(c, "settings") }), "settings"},
+		"no path":      {"", "PROXY_CONFIG"},
+		"no file":      {filepath.Join(t.TempDir(), "none.json"), "none.json"},
+		"invalid JSON": {malformedPath, "JSON"},
+		"listen":       {writeConfig(t, func(c map[string]any) { c["listen"] = "nowhere" }), "listen"},
+		"discovery":    {writeConfig(t, func(c map[string]any) { delete(c, "discovery") }), "discovery"},
+		"seed":         {writeConfig(t, func(c map[string]any) { c["seed"] = "xyz" }), "seed"},
+		"sockets":      {writeConfig(t, func(c map[string]any) { c["limits"] = map[string]any{"sockets": 3} }), "sockets"},
+		"settings":     {writeConfig(t, func(c map[string]any) { delete(c, "settings") }), "settings"},
 		"module": {writeConfig(t, func(c map[string]any) {
 			c["settings"] = map[string]any{"Classes": []any{map[string]any{"Name": "a", "DeadlineMs": -5}}}
 		}), "Deadline"},
@@ -83,16 +89,17 @@
 		err := cmd.Run()
 		var exit *exec.ExitError
 		if !errors.As(err, &exit) || exit.ExitCode() <= 0 {
-			t.Errorf("%s: ended with %v, want a non-zero exit code", name, err)
+			t.Errorf("%s: the program ended with %v, want a non-zero exit code", name, err)
 		}
 		if text := stderr.String(); strings.Count(text, "\n") != 1 || !strings.Contains(text, testCase.wantText) {
-			t.Errorf("%s: stderr %q, want one line that names %s", name, text, testCase.wantText)
+			t.Errorf("%s: stderr is %q, want one line that contains %s", name, text, testCase.wantText)
 		}
 	}
 }
 
-// Guards rule 1 at a reload and a planned restart: under load every connection that came
-// before the node stopped accepting gets its whole answer, and the exit code is 0.
+// TestSignalsUnderLoadLoseNoRequest guards rule 1 (no request is lost) during a reload and a planned restart under
+// load: each connection that arrives before the node stops accepting gets its complete answer, and the program
+// exits with 0.
 func TestSignalsUnderLoadLoseNoRequest(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(100 * time.Millisecond)
@@ -139,7 +146,7 @@
 			}
 		}
 		if time.Since(start) > 20*time.Second {
-			t.Fatalf("not up: %s", &stderr)
+			t.Fatalf("the node is not ready after 20 s: %s", &stderr)
 		}
 	}
 
@@ -178,7 +185,7 @@
 	for answered.Load() < 20 {
 		time.Sleep(time.Millisecond)
 	}
-	// A reload must not end the program, as an uncaught SIGHUP does.
+	// A reload must not end the program, as an uncaught SIGHUP would.
 	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
@@ -189,18 +196,18 @@
 		t.Fatal(err)
 	}
 	answeredAtSIGTERM.Store(answered.Load())
-	time.Sleep(150 * time.Millisecond) // connections go on coming for a while
+	time.Sleep(150 * time.Millisecond) // clients keep opening connections meanwhile
 	close(stop)
 	clients.Wait()
 	select {
 	case err := <-exited:
 		if err != nil {
-			t.Errorf("ended with %v: %s", err, &stderr)
+			t.Errorf("the program ended with %v: %s", err, &stderr)
 		}
 	case <-time.After(20 * time.Second):
-		t.Error("does not end")
+		t.Error("the program has not ended 20 s after SIGTERM")
 	}
 	if answered.Load() == answeredAtSIGTERM.Load() {
-		t.Error("nothing was answered after SIGTERM")
+		t.Error("no request was answered after SIGTERM")
 	}
 }
--- a/cmd/otterstep/process_log_test.go
+++ b/cmd/otterstep/process_log_test.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// processLog is what processes have logged. It is safe for concurrent use.
+// processLog collects the log output of one or more processes. It is safe for concurrent use.
 type processLog struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -19,14 +19,15 @@
 	return l.text.Write(p)
 }
 
-// String gives all of it.
+// String returns the whole output.
 func (l *processLog) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// dropDump takes out the goroutines that an ended process has dumped, and counts them.
+// removeGoroutineDump removes the goroutine dump that a process has written at its end on SIGQUIT, and returns
+// the number of goroutines in it.
 func (l *processLog) removeGoroutineDump() (count int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/cmd/otterstep/restart_test.go
+++ b/cmd/otterstep/restart_test.go
@@ -16,10 +16,10 @@
 	"otterstep/internal/standin"
 )
 
-// readyWithin is the time in which nine in ten restarted nodes have to be ready.
+// readyTimeout is the time within which nine in ten restarted nodes have to be ready.
 const readyTimeout = 10 * time.Second
 
-// startServer starts a server of requests on loopback and gives its address.
+// startServer starts a billing server on loopback and returns its address.
 func startServer(t *testing.T, handler http.Handler) (addr string) {
 	t.Helper()
 	s := httptest.NewServer(handler)
@@ -27,7 +27,7 @@
 	return s.Listener.Addr().String()
 }
 
-// startProxy starts a proxy to an address.
+// startProxy starts a proxy that forwards to an address.
 func startProxy(t *testing.T, target string) *standin.Proxy {
 	t.Helper()
 	p, err := standin.NewProxy(target)
@@ -38,7 +38,7 @@
 	return p
 }
 
-// countingBackend counts the requests that come to a server.
+// startCountingServer starts a server on loopback and returns its address and the number of its requests so far.
 func startCountingServer(t *testing.T) (addr string, requestCount *atomic.Int64) {
 	t.Helper()
 	requestCount = new(atomic.Int64)
@@ -50,16 +50,16 @@
 	return s.Listener.Addr().String(), requestCount
 }
 
-// goneServers is the number of servers that leave while the node is down: most of its list, so
-// that a node that serves from it is sure to meet one.
+// goneServerCount is the number of servers that leave while the node is down. They are most of its list, so that
+// a node that serves from the old list is sure to send to one of them.
 const goneServerCount = 15
 
-// line gives discovery's line of a server.
+// newEntry returns discovery's list entry of a server.
 func newEntry(uid, addr, state string) standin.Entry {
 	return standin.Entry{UID: uid, Endpoint: addr, AZ: "a", State: state, CapacityHint: 1}
 }
 
-// goneLines gives the lines of the servers that leave, all of them at one address.
+// goneEntries returns the entries of the servers that leave; all of them have one address.
 func goneEntries(addr, state string) (entries []standin.Entry) {
 	for i := range goneServerCount {
 		entries = append(entries, newEntry(fmt.Sprint("gone-", i), addr, state))
@@ -67,27 +67,31 @@
 	return entries
 }
 
-// addresses counts those that freeAddress has given.
+// addressesGiven is the number of addresses that freeAddress has returned.
 var addressesGiven atomic.Int64
 
-// freeAddress gives an address of loopback at which nobody listens, and that is given once. A free port of
-// 127.0.0.1 may be taken by any other party before it is used. Each process of tests has a block of addresses of
-// its own, by its id: with a few blocks for all, those that ran at the same time took one another's.
+// freeAddress returns a loopback address at which nothing listens, a different one each time. It does not look for a
+// free port of 127.0.0.1, because another process might take that port before it is used. Each test process has its
+// own block of addresses, chosen by its process id: with only a few blocks in all, processes that ran at the same
+// time took each other's addresses.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	const (
+		// The numbers of values of the last three octets, and the lowest second octet.
 		fourthOctets, thirdOctets, firstSecondOctet, secondOctets = 250, 250, 64, 128
-		firstPort, portCount                                      = 8000, 1000 // below the ports that the system gives to connections
+
+		firstPort, portCount = 8000, 1000 // below the ports that the system assigns to outgoing connections
 	)
 	index := int(addressesGiven.Add(1) - 1)
 	if index >= fourthOctets*portCount {
-		t.Fatal("no address of loopback is left")
+		t.Fatal("all loopback addresses of this process have been given out")
 	}
 	block := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d:%d", firstSecondOctet+block/thirdOctets%secondOctets, block%thirdOctets, 1+index%fourthOctets, firstPort+index/fourthOctets)
+	return fmt.Sprintf("127.%d.%d.%d:%d", firstSecondOctet+block/thirdOctets%secondOctets, block%thirdOctets,
+		1+index%fourthOctets, firstPort+index/fourthOctets)
 }
 
-// restartedNode is the program, started with the list that it had before it was down.
+// restartedNode is one process of the program, started with the list that it had before it went down.
 type restartedNode struct {
 	t         *testing.T
 	addr      string
@@ -97,6 +101,7 @@
 	client    http.Client
 }
 
+// startRestartedNode starts a node of a fleet of 300 with a known list, in the mode "pushed" or "on_request".
 func startRestartedNode(t *testing.T, discoveryAddr, mode string, knownList standin.List) *restartedNode {
 	t.Helper()
 	node := &restartedNode{t: t, addr: freeAddress(t), client: http.Client{Transport: &http.Transport{}}}
@@ -125,7 +130,7 @@
 	return node
 }
 
-// up waits until the node says that it is ready.
+// awaitReady waits until the node reports at /up that it is ready.
 func (n *restartedNode) awaitReady() {
 	n.t.Helper()
 	for {
@@ -137,33 +142,35 @@
 			}
 		}
 		if time.Since(n.startedAt) > readyTimeout {
-			n.t.Fatalf("not ready within %v", readyTimeout)
+			n.t.Fatalf("the node is not ready within %v", readyTimeout)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// Guards rule 3 after a restart: what changed while a node was down may count as told before
-// the node's first call to discovery, and it can't know. So it serves nothing from the list of
-// before until discovery has told it what changed, also where the first calls come to nothing.
+// TestRestartedNodeSendsNothingToServersThatAreGone guards rule 3 (no request to a server that counts as known to be
+// out of service) after a restart: a change made while the node was down may count as known to it before its first
+// call to discovery. The node cannot tell, so it must not serve from its old list until discovery has answered, also
+// where the first calls fail.
 func TestRestartedNodeSendsNothingToServersThatAreGone(t *testing.T) {
-	lateRefusal := standin.DelayedCalls(1200 * time.Millisecond)
+	delayedCall := standin.DelayedCalls(1200 * time.Millisecond)
 	for name, faults := range map[string][]standin.Fault{
-		"discovery answers at once":           nil,
-		"discovery resets the first call":     {standin.Reset},
-		"discovery answers 503 to two calls":  {standin.Unavailable, standin.Unavailable},
-		"discovery's first answer is garbage": {standin.Malformed},
-		"discovery's first answer is cut off": {standin.Truncated},
-		"discovery says nothing at first":     {standin.NoAnswer},
-		"discovery's first answer stalls":     {standin.HeadersOnly},
-		"discovery is crowded":                {lateRefusal, lateRefusal, lateRefusal},
+		"discovery answers at once":                         nil,
+		"discovery resets the first call":                   {standin.Reset},
+		"discovery answers 503 to two calls":                {standin.Unavailable, standin.Unavailable},
+		"discovery's first answer is malformed":             {standin.Malformed},
+		"discovery's first answer is truncated":             {standin.Truncated},
+		"discovery gives no answer at first":                {standin.NoAnswer},
+		"discovery's first answer stalls after its headers": {standin.HeadersOnly},
+		"discovery gets three calls 1.2 s late":             {delayedCall, delayedCall, delayedCall},
 	} {
 		for _, mode := range []string{"on_request", "pushed"} {
 			t.Run(strings.ReplaceAll(name, " ", "_")+"/"+mode, func(t *testing.T) {
 				t.Parallel()
 				stayingAddr, served := startCountingServer(t)
 				goneAddr, misrouted := startCountingServer(t)
-				discovery := standin.NewDiscovery(append(goneEntries(goneAddr, standin.InService), newEntry("s1", stayingAddr, standin.InService)))
+				discovery := standin.NewDiscovery(append(
+					goneEntries(goneAddr, standin.InService), newEntry("s1", stayingAddr, standin.InService)))
 				t.Cleanup(discovery.Close)
 				knownList := discovery.KnownList()
 				discovery.Change(goneEntries(goneAddr, standin.Terminated)...)
@@ -178,20 +185,21 @@
 					t.Errorf("%d of %d requests went to a server that left before the node started", misrouted.Load(), requests)
 				}
 				if served.Load() < requests/2 {
-					t.Errorf("%d of %d requests went to the server that stayed", served.Load(), requests)
+					t.Errorf("%d of %d requests went to the server that stayed, want half of them at least", served.Load(), requests)
 				}
 			})
 		}
 	}
 }
 
-// serveUnconfirmed is when a node that has to ask serves from its kept list without an answer: each node has to
-// be ready within 30 s.
+// maxConfirmationWait is the time after which a node that gets lists on request serves from its known list although
+// discovery has not confirmed it. It is below 30 s because each node has to serve within 30 s.
 const maxConfirmationWait = 28 * time.Second
 
-// A discovery that has to be asked and is down does not keep a restarted node from serving for ever: what it has
-// counts as told only once it can be reached. Until shortly before the node has to serve it refuses. What
-// discovery says at its return is heard within toldAfter.
+// TestRestartedNodeServesWhileDiscoveryIsDown guards against a restarted node that never serves because a discovery
+// with lists on request is down. A change counts as known only once discovery can be reached, so the node refuses
+// requests until shortly before it has to serve and then serves from its old list. When discovery returns, the node
+// has to know what changed within maxListAge.
 func TestRestartedNodeServesWhileDiscoveryIsDown(t *testing.T) {
 	t.Parallel()
 	stayingAddr, _ := startCountingServer(t)
@@ -208,7 +216,7 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	if remaining := maxConfirmationWait - time.Since(node.startedAt); remaining > 0 {
-		t.Fatalf("the list of before serves %v too early", remaining)
+		t.Fatalf("the node serves from its unconfirmed list %v too early", remaining)
 	}
 	returnedAt := time.Now()
 	discovery, err := standin.NewDiscoveryAt(addr, previousEntries)
@@ -226,16 +234,17 @@
 			break
 		}
 		if time.Since(returnedAt) > maxListAge {
-			t.Fatalf("a server that is gone is sent to %v after discovery's return", maxListAge)
+			t.Fatalf("the node still sends to a server that is gone %v after the return of discovery", maxListAge)
 		}
 	}
 	if discovery.CallCount() == 0 {
-		t.Error("the node has not called discovery since its return")
+		t.Error("the node has not called discovery since discovery returned")
 	}
 }
 
-// What an agent has counts as told from the first moment of a new process: a node that can't reach it is ready in
-// time, sends nothing by the list of before, and serves as soon as the agent answers.
+// TestRestartedNodeSendsNothingWhileItsAgentIsDown guards against serving from an old list where an agent pushes
+// lists. What the agent has counts as known from the start of a new process. A node that cannot reach the agent has
+// to be ready in time and send nothing, and it has to serve as soon as the agent answers.
 func TestRestartedNodeSendsNothingWhileItsAgentIsDown(t *testing.T) {
 	t.Parallel()
 	stayingAddr, served := startCountingServer(t)
@@ -249,7 +258,7 @@
 		sendRequest(&node.client, node.addr, i)
 	}
 	if sent := misrouted.Load() + served.Load(); sent > 0 {
-		t.Fatalf("%d of %d requests were sent by a list that is not confirmed", sent, i)
+		t.Fatalf("%d of %d requests were sent to servers of an unconfirmed list", sent, i)
 	}
 	agent, err := standin.NewDiscoveryAt(addr, previousEntries)
 	if err != nil {
@@ -259,7 +268,7 @@
 	agent.Change(goneEntries(goneAddr, standin.Terminated)...)
 	for returnedAt := time.Now(); served.Load() == 0; i++ {
 		if time.Since(returnedAt) > time.Second {
-			t.Fatal("nothing is served though the agent is back")
+			t.Fatal("no request is served 1 s after the return of the agent")
 		}
 		sendRequest(&node.client, node.addr, i)
 	}
--- a/cmd/otterstep/signals_test.go
+++ b/cmd/otterstep/signals_test.go
@@ -14,7 +14,7 @@
 	"otterstep/internal/standin"
 )
 
-// signalled is the program before a discovery, and what it has said.
+// nodeProcess is one process of the program with its own discovery service, its log and a client.
 type nodeProcess struct {
 	t          *testing.T
 	discovery  *standin.Discovery
@@ -26,7 +26,8 @@
 	client     http.Client
 }
 
-// startSignalled starts the program with a known list, which one of its modes follows.
+// newNodeProcess starts a discovery service and configures a node with its list as the known list. The mode
+// is "pushed" or "on_request". The caller starts the node.
 func newNodeProcess(t *testing.T, mode string, entries ...standin.Entry) *nodeProcess {
 	t.Helper()
 	p := &nodeProcess{
@@ -38,7 +39,7 @@
 	return p
 }
 
-// configure writes the configuration.
+// configure writes a new configuration file, which names the address of a discovery service.
 func (p *nodeProcess) configure(mode, discoveryAddr string) {
 	p.configPath = writeConfig(p.t, func(c map[string]any) {
 		c["listen"], c["discovery"], c["known"] = p.addr, discoveryAddr, p.discovery.KnownList()
@@ -51,6 +52,7 @@
 	})
 }
 
+// start starts the process.
 func (p *nodeProcess) start() {
 	p.t.Helper()
 	p.cmd = programCommand(p.configPath)
@@ -63,12 +65,12 @@
 		p.cmd.Process.Kill()
 		p.client.CloseIdleConnections()
 		if p.t.Failed() {
-			p.t.Logf("the log: %s", &p.stderr)
+			p.t.Logf("the node's log: %s", &p.stderr)
 		}
 	})
 }
 
-// status waits until the node says at /up whether it is ready, as wanted.
+// awaitStatus waits until the node answers requests to /up with the wanted status code.
 func (p *nodeProcess) awaitStatus(want int) {
 	p.t.Helper()
 	for end := time.Now().Add(readyTimeout); ; time.Sleep(2 * time.Millisecond) {
@@ -79,30 +81,32 @@
 			}
 		}
 		if time.Now().After(end) {
-			p.t.Fatalf("/up does not say %d", want)
+			p.t.Fatalf("/up does not answer %d in time", want)
 		}
 	}
 }
 
-// endsWell waits for the end of the program.
+// awaitCleanExit waits until the process exits and checks that its exit code is 0.
 func (p *nodeProcess) awaitCleanExit(timeout time.Duration) {
 	p.t.Helper()
 	select {
 	case err := <-p.exited:
 		if err != nil {
-			p.t.Errorf("it ends with %v, want exit code 0", err)
+			p.t.Errorf("the program ended with %v, want exit code 0", err)
 		}
 	case <-time.After(timeout):
-		p.t.Error("it does not end")
+		p.t.Error("the program has not ended in time")
 	}
 }
 
+// echoCorrelationID answers a request with its correlation id.
 func echoCorrelationID(w http.ResponseWriter, r *http.Request) {
 	io.WriteString(w, r.Header.Get("X-Correlation-Id"))
 }
 
-// A new configuration that comes before the node is ready is taken: it gets ready by the address that this
-// one names, where the first one says nothing.
+// TestNewConfigurationDuringAStartIsApplied guards against ignoring a configuration that is reloaded before the node
+// is ready: where discovery never answers at the first address, the node has to become ready with the address of the
+// new configuration.
 func TestNewConfigurationDuringAStartIsApplied(t *testing.T) {
 	t.Parallel()
 	server := startServer(t, http.HandlerFunc(echoCorrelationID))
@@ -125,7 +129,8 @@
 			p.cmd.Process.Signal(syscall.SIGHUP)
 			p.awaitStatus(http.StatusOK)
 			if took := time.Since(signalledAt); took > maxAddressChangeDelay || otherDiscovery.CallCount() == 0 {
-				t.Errorf("ready %v after the new configuration, %d calls to the address that it names", took, otherDiscovery.CallCount())
+				t.Errorf("the node was ready %v after the new configuration, with %d calls to the address that it names",
+					took, otherDiscovery.CallCount())
 			}
 			if !sendRequest(&p.client, p.addr, 1) {
 				t.Error("a request is not served")
@@ -134,16 +139,17 @@
 	}
 }
 
-// Signals that come behind the one that ends the node change nothing of how it ends, and one that came
-// before with half a configuration does not keep it.
+// TestSignalsInSeriesEndTheNodeCleanly guards against a shutdown that other signals disturb: signals after the first
+// SIGTERM or SIGINT must not change how the node ends, and an earlier reload, which fails because the file is
+// truncated, must not delay the end.
 func TestSignalsInSeriesEndTheNodeCleanly(t *testing.T) {
 	t.Parallel()
 	server := startServer(t, http.HandlerFunc(echoCorrelationID))
 	entry := newEntry("s1", server, standin.InService)
 	for name, signals := range map[string][]os.Signal{
 		"SIGTERM twice":             {syscall.SIGTERM, syscall.SIGTERM},
-		"SIGINT behind SIGTERM":     {syscall.SIGTERM, syscall.SIGINT},
-		"SIGHUP behind SIGTERM":     {syscall.SIGTERM, syscall.SIGHUP, syscall.SIGHUP},
+		"SIGINT after SIGTERM":      {syscall.SIGTERM, syscall.SIGINT},
+		"SIGHUP after SIGTERM":      {syscall.SIGTERM, syscall.SIGHUP, syscall.SIGHUP},
 		"SIGTERM during a reload":   {syscall.SIGHUP, syscall.SIGTERM},
 		"SIGTERM amid many reloads": {syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM},
 	} {
@@ -157,7 +163,8 @@
 			}
 			for i, sig := range signals {
 				p.cmd.Process.Signal(sig)
-				if !sendRequest(&p.client, p.addr, i) { // on the open connection; it also lets the signal be handled
+				// The request uses the open connection, and gives the node time to handle the signal.
+				if !sendRequest(&p.client, p.addr, i) {
 					t.Errorf("request %d is not served", i)
 				}
 			}
@@ -167,13 +174,18 @@
 	}
 }
 
-// A node that was told to end follows its list up to the end: requests on connections that stay open do not
-// go to a server that leaves meanwhile, also where discovery fails at first.
+// TestDrainingNodeFollowsItsList guards against a draining node that stops following its list: requests on
+// connections that stay open must not go to servers that leave during the drain, even if discovery fails at the
+// beginning of the drain.
 func TestDrainingNodeFollowsItsList(t *testing.T) {
 	for _, testCase := range []struct {
 		name  string
 		fault standin.Fault
-	}{{"well", nil}, {"refuses at first", standin.Unavailable}, {"says nothing at first", standin.NoAnswer}} {
+	}{
+		{"discovery answers", nil},
+		{"discovery answers 503 at first", standin.Unavailable},
+		{"discovery gives no answer at first", standin.NoAnswer},
+	} {
 		t.Run(testCase.name, func(t *testing.T) {
 			t.Parallel()
 			var misrouted atomic.Int64
@@ -199,19 +211,21 @@
 			}
 			p.discovery.Change(leavingEntries...)
 			for i, until := 0, time.Now().Add(400*time.Millisecond); time.Now().Before(until); i++ {
-				sendRequest(&p.client, p.addr, i) // one whose attempt is withdrawn as its server leaves may be refused
+				sendRequest(&p.client, p.addr, i) // may be refused: an unsent attempt is cancelled when its server leaves
 			}
 			p.discovery.SetFault(nil)
 			graceEnd := time.Now().Add(drainGrace + soakSchedulingSlack)
 			served := 0
-			for i := 1_000_000; time.Now().Before(graceEnd.Add(time.Second)); i++ { // an id is taken once
+			// The ids differ from those above, because the node accepts an id only once.
+			for i := 1_000_000; time.Now().Before(graceEnd.Add(time.Second)); i++ {
 				graceOver.Store(time.Now().After(graceEnd))
 				if sendRequest(&p.client, p.addr, i) && graceOver.Load() {
 					served++
 				}
 			}
 			if misrouted.Load() > 0 || served == 0 {
-				t.Errorf("%d requests went to servers that had left, %d were served after that", misrouted.Load(), served)
+				t.Errorf("after the drain grace %d requests went to servers that had left, %d were served; want 0 and more than 0",
+					misrouted.Load(), served)
 			}
 			p.client.CloseIdleConnections()
 			p.awaitCleanExit(4 * time.Second)
--- a/cmd/otterstep/told_test.go
+++ b/cmd/otterstep/told_test.go
@@ -15,60 +15,62 @@
 	"otterstep/internal/standin"
 )
 
-// A node that was told that a server drains or is gone sends it no new request later than the drain grace
-// after that, whatever the node hears next: answers of an earlier version, from the same address or from
-// another one that lags, answers whose end is late, missing or reset, and a restart with an old list.
+// These tests guard against sending requests to a server of which the node knows that it drains or is gone. The node has
+// to stop within the drain grace, whatever it receives next: answers of an earlier version, from the same address or
+// from another one that lags, answers whose end is late, missing or replaced by a reset, or a restart with an old list.
 //
-// Each row forces one order of events: the change is made while a watch is open, and what follows begins
-// once the node has asked for what is newer than the change, so it has taken it. Faults strike by count.
+// Each case forces one order of events. The change is made while a watch is open, and what follows begins once the node
+// has called for changes since that version, which shows that it has accepted the change. Faults are selected by the
+// number of the call, not by time.
 
 const (
-	noticeDrainGrace      = 300 * time.Millisecond // drain grace of the settings
-	noticeTolerance       = 50 * time.Millisecond  // that the rules add to each limit
-	noticeSchedulingSlack = 200 * time.Millisecond // for a busy machine
+	noticeDrainGrace      = 300 * time.Millisecond // drain grace in the settings
+	noticeTolerance       = 50 * time.Millisecond  // what the rules add to each limit
+	noticeSchedulingSlack = 200 * time.Millisecond // allowance for a busy machine
 	maxSendAfterNotice    = noticeDrainGrace + noticeTolerance + noticeSchedulingSlack
 
-	observedAfterNotice = 5 * time.Second       // how long a node is observed after the change, in most rows
-	maxReturnDelay      = 3 * time.Second       // in which a server that came back gets work again
-	requestPause        = 20 * time.Millisecond // between two requests of a client
-	leavingServerCount  = 8                     // servers that leave, so that a node that may send to them soon does,
-	stayingServerCount  = 3                     // and servers that stay
+	observedAfterNotice = 5 * time.Second       // time for which a node is observed after the change, in most cases
+	maxReturnDelay      = 3 * time.Second       // time within which a server that came back has to get requests
+	requestPause        = 20 * time.Millisecond // pause between two requests of a client
+	leavingServerCount  = 8                     // number of leaving servers: enough that a node that may send to them soon does
+	stayingServerCount  = 3                     // number of staying servers
 
-	maxConcurrentRuns = 16 // rows that are played side by side
+	maxConcurrentRuns = 16 // runs in parallel
 
-	reloadAfterChange = time.Second      // from the change to the new configuration
-	replicaLag        = 3 * time.Second  // of an address that lags
-	agentOutage       = 12 * time.Second // of an agent, through a restart
+	reloadAfterChange = time.Second      // time from the change to the new configuration
+	replicaLag        = 3 * time.Second  // lag of a lagging address
+	agentOutage       = 12 * time.Second // duration of an agent's outage, during which the node restarts
 )
 
-// toldRow is one order of events, with servers that leave in it.
+// drainNoticeCase is one order of events in which servers leave.
 type drainNoticeCase struct {
 	name             string
 	steps            func(r *drainNoticeRun)
-	modes            []string // nil: both
-	needsRunningNode bool     // it is not crossed with SIGTERM, as it needs a node that goes on
+	modes            []string // modes of discovery; nil: both
+	needsRunningNode bool     // no additional run with SIGTERM, because the case needs a node that keeps running
 }
 
+// drainNoticeCases are the cases of TestServerGetsNoRequestsAfterItsDrainNotice.
 var drainNoticeCases = []drainNoticeCase{
 	{name: "half of the answers are whole lists of an earlier version", steps: func(r *drainNoticeRun) {
 		r.announceDrainAndAwait()
 		r.alternateEarlierLists()
 	}},
-	{name: "watches are answered with the whole list of before, calls for it with the present one", steps: func(r *drainNoticeRun) {
+	{name: "watches get the whole list from before the change, others the current one", steps: func(r *drainNoticeRun) {
 		r.announceDrainAndAwait()
 		r.source.SetFault(standin.ByCallKind(standin.EarlierList(1), nil))
 		r.changeOften()
 	}},
-	{name: "calls for the whole list are answered with that of before, watches are refused", steps: func(r *drainNoticeRun) {
+	{name: "calls for the whole list get the one from before the change, watches get an error", steps: func(r *drainNoticeRun) {
 		r.announceDrainAndAwait()
 		r.source.SetFault(standin.ByCallKind(standin.UnknownVersion, standin.EarlierList(1)))
 	}},
-	{name: "calls reach a replica that stands still", needsRunningNode: true, steps: func(r *drainNoticeRun) {
-		frozen := r.startReplica(standin.NeverCatchesUp)
+	{name: "calls reach a replica that never catches up", needsRunningNode: true, steps: func(r *drainNoticeRun) {
+		frozenReplica := r.startReplica(standin.NeverCatchesUp)
 		r.announceDrainAndAwait()
-		r.source.SetFault(standin.AnsweredBy(frozen))
+		r.source.SetFault(standin.AnsweredBy(frozenReplica))
 	}},
-	{name: "every answer is the whole list of before", steps: func(r *drainNoticeRun) {
+	{name: "every answer is the whole list from before the change", steps: func(r *drainNoticeRun) {
 		r.announceDrainAndAwait()
 		r.source.SetFault(standin.EarlierList(1))
 	}},
@@ -79,7 +81,7 @@
 		r.reload(lagging)
 		r.observeUntil = r.changedAt.Add(replicaLag + 2*time.Second)
 	}},
-	{name: "new configurations name two addresses in a row that lag", needsRunningNode: true, steps: func(r *drainNoticeRun) {
+	{name: "two new configurations in a row name addresses that lag", needsRunningNode: true, steps: func(r *drainNoticeRun) {
 		first, second := r.startReplica(replicaLag), r.startReplica(2*replicaLag)
 		r.announceDrainAndAwait()
 		time.Sleep(reloadAfterChange)
@@ -88,7 +90,7 @@
 		r.reload(second)
 		r.observeUntil = r.changedAt.Add(2*replicaLag + 2*time.Second)
 	}},
-	{name: "back to the first address, which lags now", needsRunningNode: true, steps: func(r *drainNoticeRun) {
+	{name: "a new configuration names the first address, which now lags", needsRunningNode: true, steps: func(r *drainNoticeRun) {
 		second := r.startReplica(0)
 		r.announceDrainAndAwait()
 		r.reload(second)
@@ -98,23 +100,23 @@
 		time.Sleep(replicaLag)
 		r.source.SetFault(nil)
 	}},
-	{name: "the version counter starts anew with the list of before", steps: func(r *drainNoticeRun) {
+	{name: "versions restart, with the list from before the change", steps: func(r *drainNoticeRun) {
 		r.announceDrainAndAwait()
 		r.source.Restart(r.allEntries(standin.InService, 0))
 	}},
-	{name: "the servers come back by a later version of the same address", needsRunningNode: true, steps: func(r *drainNoticeRun) {
+	{name: "the servers come back in a later version at the same address", needsRunningNode: true, steps: func(r *drainNoticeRun) {
 		r.announceDrainAndAwait()
 		time.Sleep(2 * time.Second)
 		r.source.Change(r.leavingEntries(standin.InService, 0)...)
 		r.returnedAt = time.Now()
 	}},
-	{name: "the servers start anew, as the same address tells", needsRunningNode: true, steps: func(r *drainNoticeRun) {
+	{name: "the servers restart, and the same address lists them", needsRunningNode: true, steps: func(r *drainNoticeRun) {
 		r.announceDrainAndAwait()
 		time.Sleep(2 * time.Second)
 		r.source.Change(r.leavingEntries(standin.InService, time.Now().UnixMilli())...)
 		r.returnedAt = time.Now()
 	}},
-	{name: "the servers start anew, as another address tells", needsRunningNode: true, steps: func(r *drainNoticeRun) {
+	{name: "the servers restart, and another address lists them", needsRunningNode: true, steps: func(r *drainNoticeRun) {
 		r.announceDrainAndAwait()
 		time.Sleep(2 * time.Second)
 		other := standin.NewDiscovery(r.allEntries(standin.InService, time.Now().UnixMilli()))
@@ -122,50 +124,50 @@
 		r.reload(other)
 		r.returnedAt = time.Now()
 	}},
-	{name: "an answer is whole and its end comes 8 s late", steps: func(r *drainNoticeRun) {
+	{name: "the message is complete, the end of the answer comes 8 s late", steps: func(r *drainNoticeRun) {
 		r.source.SetFault(standin.LateEnd(8 * time.Second))
 		r.announceDrain()
 	}},
-	{name: "an answer is whole and its end never comes", steps: func(r *drainNoticeRun) {
+	{name: "the message is complete, the end of the answer never comes", steps: func(r *drainNoticeRun) {
 		r.source.SetFault(standin.NoEnd)
 		r.announceDrain()
 	}},
-	{name: "an answer is whole and a reset comes in place of its end", steps: func(r *drainNoticeRun) {
+	{name: "the message is complete, a reset comes instead of the end of the answer", steps: func(r *drainNoticeRun) {
 		r.source.SetFault(standin.ResetEnd)
 		r.announceDrain()
 	}},
-	{name: "an answer is whole and blanks without an end follow it", steps: func(r *drainNoticeRun) {
-		const blanks = 4 << 10
-		r.source.SetFault(standin.Padded(blanks, standin.NoEnd))
+	{name: "the message is complete, spaces follow and the end of the answer never comes", steps: func(r *drainNoticeRun) {
+		const paddingSpaces = 4 << 10
+		r.source.SetFault(standin.Padded(paddingSpaces, standin.NoEnd))
 		r.announceDrain()
 	}},
-	{name: "the lines come at once, the rest of the answer 5 s later", steps: func(r *drainNoticeRun) {
+	{name: "the entries come at once, the rest of the answer 5 s later", steps: func(r *drainNoticeRun) {
 		r.source.SetFault(standin.DelayAfterEntries(leavingServerCount, 5*time.Second))
 		r.announceDrain()
 	}},
-	{name: "the lines come at once, the answer is cut off behind them", steps: func(r *drainNoticeRun) {
+	{name: "the entries come at once, a reset follows them", steps: func(r *drainNoticeRun) {
 		r.source.SetFault(standin.ResetAfterEntries(leavingServerCount))
 		r.announceDrain()
 	}},
-	{name: "the lines come at once, the others one by one", steps: func(r *drainNoticeRun) {
+	{name: "the entries of the leaving servers come at once, the others one by one", steps: func(r *drainNoticeRun) {
 		r.source.SetFault(standin.EntryByEntry(leavingServerCount, 1500*time.Millisecond))
 		r.announceDrain()
 	}},
-	{name: "the version comes behind the lines", steps: func(r *drainNoticeRun) {
+	{name: "the version comes after the entries", steps: func(r *drainNoticeRun) {
 		r.source.SetFault(standin.VersionLast((*standin.Call).Answer))
 		r.announceDrain()
 	}},
-	{name: "the version comes behind the lines, 5 s later", steps: func(r *drainNoticeRun) {
+	{name: "the version comes after the entries, 5 s later", steps: func(r *drainNoticeRun) {
 		r.source.SetFault(standin.VersionLast(standin.DelayAfterEntries(leavingServerCount, 5*time.Second)))
 		r.announceDrain()
 	}},
-	{name: "a whole list leaves the servers out, then an earlier one names them", steps: func(r *drainNoticeRun) {
+	{name: "a whole list omits the servers, then an earlier one lists them", steps: func(r *drainNoticeRun) {
 		r.source.SetFault(standin.WholeList)
 		r.announceRemoval()
 		r.awaitWatch(r.source, r.changeVersion)
 		r.alternateEarlierLists()
 	}},
-	{name: "SIGKILL and a start with the list of before while the agent is away", needsRunningNode: true,
+	{name: "SIGKILL and a start with the old list while the agent is down", needsRunningNode: true,
 		modes: []string{"pushed"}, steps: func(r *drainNoticeRun) {
 			r.announceDrainAndAwait()
 			r.source.SetFault(standin.Reset)
@@ -177,43 +179,43 @@
 		}},
 }
 
-// toldRun plays a row before one node, with a client that asks it all the time.
+// drainNoticeRun runs a case with one node and a client that sends requests to it all the time.
 type drainNoticeRun struct {
 	t                *testing.T
 	testCase         drainNoticeCase
 	mode             string
-	withSIGTERM      bool // SIGTERM comes right before the change
-	source           *standin.Discovery
-	stayingAddr      string // addresses of servers
-	leavingAddr      string
+	withSIGTERM      bool               // SIGTERM is sent right before the change
+	source           *standin.Discovery // first discovery service
+	stayingAddr      string             // address of the staying servers
+	leavingAddr      string             // address of the leaving servers
 	addr             string
 	configPath       string
-	currentDiscovery *standin.Discovery // that the configuration names
+	currentDiscovery *standin.Discovery // discovery service that the configuration names
 	cmd              *exec.Cmd
 	client           http.Client
 
-	changeVersion  int64     // version of the change
-	changedAt      time.Time // when it was written at the earliest
-	observeUntil   time.Time // the node is observed up to then
-	returnedAt     time.Time // the servers came back; zero: they do not
-	mustServeFrom  time.Time // requests have to be served from then on
-	notReadyReason string    // why a restarted node is not ready in time
+	changeVersion  int64     // list version of the change
+	changedAt      time.Time // time right before the change, the earliest at which the node can know it
+	observeUntil   time.Time // end of the observation
+	returnedAt     time.Time // time when the servers came back; zero: they do not
+	mustServeFrom  time.Time // time from which requests have to be served; zero: from the change on
+	notReadyReason string    // reason why a restarted node counts as not ready in time; empty: it was ready
 
 	mu                  sync.Mutex
 	log                 bytes.Buffer
-	logOffset           int         // what was logged before the change
-	leavingRequestTimes []time.Time // requests to the servers that leave
-	stayingRequestTimes []time.Time // requests to those that stay
+	logOffset           int         // length of the log before the change
+	leavingRequestTimes []time.Time // times of requests to the leaving servers
+	stayingRequestTimes []time.Time // times of requests to the staying servers
 }
 
-// Write takes what the node logs, of all its processes.
+// Write implements io.Writer. It collects the log of all processes of the node.
 func (r *drainNoticeRun) Write(text []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.log.Write(text)
 }
 
-// noting answers requests and notes when they came.
+// recordTimes returns a handler that answers requests and records when they arrived.
 func (r *drainNoticeRun) recordTimes(times *[]time.Time) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, request *http.Request) {
 		r.mu.Lock()
@@ -223,7 +225,7 @@
 	})
 }
 
-// leavers gives the lines of the servers that leave, all at one address.
+// leavingEntries returns the entries of the leaving servers; all of them have one address.
 func (r *drainNoticeRun) leavingEntries(state string, bootMs int64) (entries []standin.Entry) {
 	for i := range leavingServerCount {
 		entry := newEntry(fmt.Sprint("leaves-", i), r.leavingAddr, state)
@@ -233,7 +235,8 @@
 	return entries
 }
 
-// lines gives all lines, those of the servers that leave ahead of the others, as the service sorts them.
+// allEntries returns all entries, the leaving servers before the others, which is the order in which the service lists
+// them.
 func (r *drainNoticeRun) allEntries(state string, bootMs int64) []standin.Entry {
 	entries := r.leavingEntries(state, bootMs)
 	for i := range stayingServerCount {
@@ -242,7 +245,7 @@
 	return entries
 }
 
-// prepare puts everything in place but the node.
+// prepare starts the servers and discovery and writes the configuration.
 func (r *drainNoticeRun) prepare() {
 	r.stayingAddr = startServer(r.t, r.recordTimes(&r.stayingRequestTimes))
 	r.leavingAddr = startServer(r.t, r.recordTimes(&r.leavingRequestTimes))
@@ -271,7 +274,7 @@
 	}
 }
 
-// stop ends the node's process.
+// stop ends the node's process with SIGKILL.
 func (r *drainNoticeRun) stop() {
 	r.cmd.Process.Kill()
 	r.cmd.Wait()
@@ -284,14 +287,14 @@
 	startedAt := time.Now()
 	for !r.isReady() {
 		if time.Since(startedAt) > readyTimeout {
-			r.notReadyReason = fmt.Sprintf("not ready %v after its start", readyTimeout)
+			r.notReadyReason = fmt.Sprintf("the node is not ready %v after its start", readyTimeout)
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// ready asks whether the node is up, on a connection of its own.
+// isReady reports whether the node says at /up that it is ready. It uses a separate connection.
 func (r *drainNoticeRun) isReady() bool {
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 	resp, err := client.Get("http://" + r.addr + "/up")
@@ -302,7 +305,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// ask has a client ask the node over and over until the channel closes.
+// sendRequests sends one request after the other to the node until the channel is closed.
 func (r *drainNoticeRun) sendRequests(done <-chan struct{}) {
 	for i := 0; ; i++ {
 		select {
@@ -314,9 +317,9 @@
 	}
 }
 
-// settle waits until the node sends to the servers that leave and its watch is open.
+// awaitSteadyState waits until the node sends to the leaving servers and its watch is open.
 func (r *drainNoticeRun) awaitSteadyState() {
-	r.await("the node sends to a server that leaves", func() bool {
+	r.await("a request to a leaving server", func() bool {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		return len(r.leavingRequestTimes) > 0
@@ -324,34 +327,34 @@
 	r.awaitWatch(r.source, 1)
 }
 
-// await waits for something that is sure to come.
+// await waits for a condition, and reports an error if it is not met within readyTimeout.
 func (r *drainNoticeRun) await(what string, condition func() bool) {
 	for end := time.Now().Add(readyTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Errorf("%s: waited in vain: %s; the log:\n%s", r.name(), what, r.logText())
+			r.t.Errorf("%s: waited in vain for %s; the log:\n%s", r.name(), what, r.logText())
 			return
 		}
 	}
 }
 
-// awaitWatch waits until the node asks a service for what is newer than a version.
+// awaitWatch waits until the node calls a service for the changes since a version.
 func (r *drainNoticeRun) awaitWatch(discovery *standin.Discovery, version int64) {
-	r.await(fmt.Sprintf("a watch behind version %d", version), func() bool { return discovery.WatchedVersion() >= version })
+	r.await(fmt.Sprintf("a watch since version %d", version), func() bool { return discovery.WatchedVersion() >= version })
 }
 
-// replica starts a service that lags behind the first one.
+// startReplica starts a replica of the first discovery service that lags behind it.
 func (r *drainNoticeRun) startReplica(lag time.Duration) *standin.Discovery {
 	discovery := standin.NewDiscoveryReplica(r.source, lag)
 	r.t.Cleanup(discovery.Close)
 	return discovery
 }
 
-// change makes the change, behind SIGTERM where the row is crossed with it. All lines change, so that
-// others follow those of the servers that leave.
+// makeChange puts the leaving servers into a state, after SIGTERM in runs that include it. All entries change, so that
+// the answer has other entries after those of the leaving servers.
 func (r *drainNoticeRun) makeChange(state string) {
 	if r.withSIGTERM {
 		r.cmd.Process.Signal(syscall.SIGTERM)
-		r.await("the node drains", func() bool { return strings.Contains(r.logText(), "msg=draining") })
+		r.await("the node to drain", func() bool { return strings.Contains(r.logText(), "msg=draining") })
 	}
 	r.logOffset = len(r.logText())
 	r.changedAt = time.Now()
@@ -359,24 +362,29 @@
 	r.changeVersion = r.source.Change(r.allEntries(state, 0)...)
 }
 
-func (r *drainNoticeRun) announceDrain()   { r.makeChange(standin.Terminating) }
+// announceDrain announces that the leaving servers drain.
+func (r *drainNoticeRun) announceDrain() { r.makeChange(standin.Terminating) }
+
+// announceRemoval announces that the leaving servers are gone.
 func (r *drainNoticeRun) announceRemoval() { r.makeChange(standin.Terminated) }
 
-// drainTaken tells that servers drain, and waits until the node has taken it.
+// announceDrainAndAwait announces that the leaving servers drain, and waits until the node has accepted the change.
 func (r *drainNoticeRun) announceDrainAndAwait() {
 	r.announceDrain()
 	r.awaitWatch(r.source, r.changeVersion)
 }
 
-// answerHalfFromBefore has three answers that tell the whole list of before and three present ones take
-// turns: a node that drops what goes back, and asks anew, meets the list of before again.
+// alternateEarlierLists lets three answers with the whole list from before the change alternate with three current
+// answers, so that a node that rejects the earlier version and calls again gets the earlier list again. It also changes
+// the list often until the end of the observation.
 func (r *drainNoticeRun) alternateEarlierLists() {
 	earlierList := standin.EarlierList(1)
 	r.source.SetFault(standin.Cycle(earlierList, earlierList, earlierList, nil, nil, nil))
 	r.changeOften()
 }
 
-// touchOften changes another server's line again and again, so that each call is answered soon.
+// changeOften changes the entry of a staying server repeatedly until the end of the observation, so that each watch is
+// answered soon.
 func (r *drainNoticeRun) changeOften() {
 	for time.Now().Before(r.observeUntil) {
 		time.Sleep(200 * time.Millisecond)
@@ -384,7 +392,7 @@
 	}
 }
 
-// reload names another address of discovery.
+// reload reloads the node with a configuration that names another discovery service.
 func (r *drainNoticeRun) reload(target *standin.Discovery) {
 	text, err := os.ReadFile(r.configPath)
 	if err == nil {
@@ -401,13 +409,14 @@
 	r.cmd.Process.Signal(syscall.SIGHUP)
 }
 
+// logText returns the log so far.
 func (r *drainNoticeRun) logText() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.log.String()
 }
 
-// name is that of the row as played.
+// name returns the name of the run: its case, its mode and whether it includes SIGTERM.
 func (r *drainNoticeRun) name() string {
 	name := strings.ReplaceAll(r.testCase.name, " ", "_") + "/" + r.mode
 	if r.withSIGTERM {
@@ -416,7 +425,7 @@
 	return name
 }
 
-// run plays the row.
+// run starts the node, runs the case and observes the node to the end.
 func (r *drainNoticeRun) run() {
 	r.start()
 	defer r.stop()
@@ -434,7 +443,7 @@
 	r.client.CloseIdleConnections()
 }
 
-// between gives the times that lie after one instant and up to another.
+// timesBetween returns the times after one instant and up to and including another.
 func timesBetween(times []time.Time, from, to time.Time) (within []time.Time) {
 	for _, at := range times {
 		if at.After(from) && !at.After(to) {
@@ -444,7 +453,7 @@
 	return within
 }
 
-// check reports what the rules do not allow.
+// check reports each violation of the rules as an error of the test.
 func (r *drainNoticeRun) check(t *testing.T) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -452,11 +461,11 @@
 	if !r.returnedAt.IsZero() {
 		end = r.returnedAt
 		if len(timesBetween(r.leavingRequestTimes, r.returnedAt, r.observeUntil)) == 0 {
-			t.Errorf("the servers that came back get no request in %v", maxReturnDelay)
+			t.Errorf("the servers that came back got no request within %v", maxReturnDelay)
 		}
 	}
 	if misrouted := timesBetween(r.leavingRequestTimes, r.changedAt.Add(maxSendAfterNotice), end); len(misrouted) > 0 {
-		t.Errorf("%d requests to servers that left, from %v to %v after the node was told, %v is allowed",
+		t.Errorf("%d requests to leaving servers, from %v to %v after the change; %v is allowed",
 			len(misrouted), misrouted[0].Sub(r.changedAt), misrouted[len(misrouted)-1].Sub(r.changedAt), maxSendAfterNotice)
 	}
 	from := r.changedAt
@@ -464,7 +473,7 @@
 		from = r.mustServeFrom
 	}
 	if len(timesBetween(r.stayingRequestTimes, from, r.observeUntil)) == 0 {
-		t.Error("the servers that stay get no request after the change")
+		t.Error("the staying servers got no request while they had to be used")
 	}
 	if r.notReadyReason != "" {
 		t.Error(r.notReadyReason)
@@ -472,11 +481,12 @@
 	if t.Failed() {
 		const maxLogBytes = 6000
 		log := r.log.Bytes()[r.logOffset:]
-		t.Logf("told at %s; the log from then on:\n%s", r.changedAt.Format(time.RFC3339Nano), log[:min(len(log), maxLogBytes)])
+		t.Logf("changed at %s; the log from then on:\n%s", r.changedAt.Format(time.RFC3339Nano), log[:min(len(log), maxLogBytes)])
 	}
 }
 
-// runs gives a row in each mode, and crossed with SIGTERM where that makes sense.
+// newRuns returns the runs of a case: one in each of its modes, and another one in each mode with SIGTERM unless the case
+// needs a node that keeps running.
 func (c drainNoticeCase) newRuns(t *testing.T) (runs []*drainNoticeRun) {
 	modes := c.modes
 	if modes == nil {
@@ -491,8 +501,8 @@
 	return runs
 }
 
-// Some rows are played side by side, as most of their time is waiting; their verdicts follow one by one. All of
-// them at once would keep each other from the processor.
+// TestServerGetsNoRequestsAfterItsDrainNotice runs maxConcurrentRuns cases at a time, because they spend most of their
+// time waiting; all of them at once would compete for the CPU. It checks their results one by one afterwards.
 func TestServerGetsNoRequestsAfterItsDrainNotice(t *testing.T) {
 	var runs []*drainNoticeRun
 	for _, testCase := range drainNoticeCases {
