--- a/cmd/otterstep/discovery_faults_test.go
+++ b/cmd/otterstep/discovery_faults_test.go
@@ -37,11 +37,11 @@
 	faultLeavingServers   = 12                     // unused: goneServerCount servers leave
 	faultDrainGrace       = 300 * time.Millisecond // drain grace in the settings
 	faultTolerance        = 50 * time.Millisecond  // what the rules add to each limit
-	configurationsPerNode = 5
-	watchesBeforeFault    = 3 // number of watches to wait for before a fault that begins with a watch
+	configurationsPerNode = 5                      // number of discovery addresses that a node's configurations can name
+	watchesBeforeFault    = 3                      // number of watches to wait for before a fault that begins with a watch
 
-	faultSchedulingSlack = 250 * time.Millisecond // allowance for a busy machine
-	watchSettleTime      = 1500 * time.Millisecond
+	faultSchedulingSlack = 250 * time.Millisecond  // allowance for a busy machine
+	watchSettleTime      = 1500 * time.Millisecond // time for nodes to open their watches before the fault
 )
 
 // discoveryFaultCase is a fault of discovery that begins at the instant at which servers leave.
