--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,4 +1,4 @@
-// Command wirehost runs instances of the decision module for the simulator. It reads batches of events from
+// Command wirehost runs Balancers for the simulator, one in each instance. It reads batches of events from
 // standard input and writes one reply to each batch to standard output.
 package main
 
@@ -15,14 +15,14 @@
 )
 
 func main() {
-	debug.SetGCPercent(800) // the live heap is small, and garbage collections are metered
+	debug.SetGCPercent(800) // the live heap is small, and the cost of garbage collections is measured
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "wirehost:", err)
 		os.Exit(1)
 	}
 }
 
-// run replies to batches until the input ends.
+// run reads batches and writes the reply to each, until the input ends.
 func run(in io.Reader, out io.Writer) error {
 	h := host{instances: map[uint16]*policy.Balancer{}}
 	reader, writer := wire.NewReader(in), bufio.NewWriterSize(out, 1<<16)
@@ -44,11 +44,11 @@
 	}
 }
 
-// host holds the instances of the decision module, by number. They share only the buffer of the reply.
+// host holds the Balancers of the simulator's instances. They share only the buffer of the reply.
 type host struct {
-	instances       map[uint16]*policy.Balancer
-	currentInstance uint16 // number of the instance that events go to
-	hasInstance     bool   // whether the batch has named an instance
+	instances       map[uint16]*policy.Balancer // Balancers of the open instances, by number
+	currentInstance uint16                      // number of the instance that events go to
+	hasInstance     bool                        // whether the batch has named an instance
 	reply           wire.Reply
 	event           wire.Event
 }
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// dispatchEvent passes one event to the current instance. It reports a panic of the module as a fatal
-// action.
+// dispatchEvent passes one event to the current instance. It ignores EventProbed and EventPeerMessage, which no
+// Balancer handles. It reports a panic of the Balancer as a fatal action.
 func (h *host) dispatchEvent(batch *wire.Batch, e *wire.Event) {
 	defer func() {
 		if panicValue := recover(); panicValue != nil {
@@ -105,7 +105,7 @@
 	}
 }
 
-// openInstance creates the current instance. It reports invalid settings as a fatal action.
+// openInstance creates the Balancer of the current instance. It reports invalid settings as a fatal action.
 func (h *host) openInstance(e *wire.Event) {
 	settings, err := wire.ParseSettings(e.Settings)
 	if err != nil {
--- a/cmd/wirehost/main_test.go
+++ b/cmd/wirehost/main_test.go
@@ -91,7 +91,8 @@
 	for name, in := range map[string][]byte{
 		"never opened": batchFrame("", instanceEvent(4), eventRecord(uint8(7), uint64(0))),
 		"not named":    batchFrame("", eventRecord(uint8(7), uint64(0))),
-		"stopped":      batchFrame(testSettings, instanceEvent(4), openEvent(testSettings), eventRecord(uint8(10)), eventRecord(uint8(7), uint64(0))),
+		"stopped": batchFrame(testSettings, instanceEvent(4), openEvent(testSettings), eventRecord(uint8(10)),
+			eventRecord(uint8(7), uint64(0))),
 	} {
 		var out bytes.Buffer
 		err := run(bytes.NewReader(in), &out)
@@ -101,7 +102,7 @@
 	}
 }
 
-// A panic of the module must not end the whole host without a report.
+// A panic of a Balancer must not end the whole host without a report.
 func TestPanicIsReportedAsFatal(t *testing.T) {
 	h := host{instances: map[uint16]*policy.Balancer{4: nil}, currentInstance: 4}
 	h.reply.Reset()
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -15,6 +15,7 @@
 	isGiven  bool
 }
 
+// UnmarshalJSON implements json.Unmarshaler. It treats null like an absent key.
 func (m *optionalMs) UnmarshalJSON(text []byte) error {
 	if string(text) == "null" {
 		return nil
@@ -74,7 +75,7 @@
 	Zones          []string
 }
 
-// NodeSettings holds all settings of a node that serves HTTP: those of its decision module, the names of
+// NodeSettings holds all settings of a node that serves HTTP: those of its Balancer, the names of
 // classes, tenants and zones as they appear in messages, in the order of their indices, and the timeouts of
 // connections.
 type NodeSettings struct {
@@ -83,7 +84,7 @@
 	TenantNames     []string
 	ZoneNames       []string
 	ConnIdleTimeout time.Duration // time after which a server closes an idle connection
-	ConnectTimeout  time.Duration
+	ConnectTimeout  time.Duration // time limit for opening a connection to a server
 }
 
 // setIfGiven replaces a default by a value, unless that is nil.
@@ -93,8 +94,8 @@
 	}
 }
 
-// ParseSettings parses the settings of a decision module. It ignores unknown keys; absent ones keep their
-// value of policy.Defaults. A class without an effect counts as non-idempotent.
+// ParseSettings parses the settings of a Balancer. It ignores unknown keys; absent ones keep their value of
+// policy.Defaults. A class without an effect counts as non-idempotent.
 func ParseSettings(text []byte) (policy.Settings, error) {
 	var j settingsJSON
 	if err := json.Unmarshal(text, &j); err != nil {
@@ -157,7 +158,8 @@
 	}
 	for i, classJSON := range j.Classes {
 		class := policy.Class{
-			Deadline: classJSON.DeadlineMs.orDefault(0), LatencyTarget: classJSON.PromiseMs.orDefault(classJSON.DeadlineMs.orDefault(0)), TargetWorkFactor: classJSON.AimStretch,
+			Deadline:      classJSON.DeadlineMs.orDefault(0),
+			LatencyTarget: classJSON.PromiseMs.orDefault(classJSON.DeadlineMs.orDefault(0)), TargetWorkFactor: classJSON.AimStretch,
 			LateValueShare: classJSON.LateWorth, Value: 1, DedupWindow: classJSON.KeyTtlMs.orDefault(0), Streaming: classJSON.Streaming,
 		}
 		setIfGiven(&class.Value, classJSON.Importance)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -60,8 +60,8 @@
 // Batch is one frame of events. Its bytes are valid until the next Read.
 type Batch struct {
 	Now    time.Duration // time on the simulator's clock
-	Number uint32
-	Count  int
+	Number uint32        // number of the batch, which its reply repeats
+	Count  int           // number of event records
 
 	records []byte
 	tail    []byte // data of variable length, which records refer to by offset
@@ -293,7 +293,8 @@
 // SetInstance sets the instance that the following actions belong to.
 func (r *Reply) SetInstance(instance uint16) { r.instance = instance }
 
-// appendAction appends an action record, preceded by a context record if the instance has changed.
+// appendAction appends an empty action record with a code and returns it. A context record precedes it if the
+// instance has changed.
 func (r *Reply) appendAction(code byte) []byte {
 	if r.contextInstance != int(r.instance) {
 		r.contextInstance = int(r.instance)
@@ -302,7 +303,7 @@
 	return r.append(code)
 }
 
-// append appends an empty action record with a code.
+// append appends an empty action record with a code and returns it.
 func (r *Reply) append(code byte) []byte {
 	var blank [actionBytes]byte
 	r.frame = append(r.frame, blank[:]...)
@@ -312,7 +313,7 @@
 	return rec
 }
 
-// appendRequestAction appends an action record with the ID of its request.
+// appendRequestAction appends an action record with the ID of its request and returns the record.
 func (r *Reply) appendRequestAction(code byte, id policy.RequestID) []byte {
 	rec := r.appendAction(code)
 	binary.BigEndian.PutUint32(rec[1:], uint32(id))
@@ -364,7 +365,7 @@
 // CancelCall implements policy.Host. It does nothing: the simulator's subscriptions are never cancelled.
 func (r *Reply) CancelCall(policy.CallID) {}
 
-// Fatal reports that the decision module has failed.
+// Fatal reports that the Balancer of the current instance has failed or cannot be created.
 func (r *Reply) Fatal(text string) {
 	rec := r.appendAction(actionFatal)
 	binary.BigEndian.PutUint32(rec[1:], uint32(len(r.tail)))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -215,19 +215,20 @@
 		t.Fatal(err)
 	}
 	class := settings.Classes[0]
-	if settings.NodeCount != 2 || settings.NodeIndex != 1 || settings.Zone != 1 || !settings.ValueByWork || !settings.ListOnRequest || !settings.KeyAffinity ||
-		settings.OverQuotaValueShare != 0.05 ||
+	if settings.NodeCount != 2 || settings.NodeIndex != 1 || settings.Zone != 1 || !settings.ValueByWork ||
+		!settings.ListOnRequest || !settings.KeyAffinity || settings.OverQuotaValueShare != 0.05 ||
 		settings.Tenants[0].QuotaPerSecond != 84 || class.Idempotency != policy.IdempotentByKey || class.DedupScope != policy.DedupZone ||
 		class.DedupWindow != 5*time.Second || class.LatencyTarget != 580*time.Millisecond || class.LateValueShare != 0.5 || !class.Streaming ||
 		class.TargetWorkFactor != 4 ||
 		settings.Limits != (policy.Limits{MaxAttempts: 4, AllowHedging: true, AllowCancel: true,
 			MaxRetryAfter: 600 * time.Millisecond}) ||
 		settings.Penalties != (policy.Penalties{WastedWork: 0.2, LateFailure: 0.08}) ||
-		settings.Rules.OverloadMultiple != 3 || settings.Rules.ColdDuration != 8800*time.Millisecond || settings.Rules.MaxCallInterval != 9*time.Second {
+		settings.Rules.OverloadMultiple != 3 || settings.Rules.ColdDuration != 8800*time.Millisecond ||
+		settings.Rules.MaxCallInterval != 9*time.Second {
 		t.Errorf("settings %+v", settings)
 	}
-	if defaultClass := settings.Classes[1]; defaultClass.Idempotency != policy.NonIdempotent || defaultClass.DedupScope != policy.DedupCell ||
-		defaultClass.LatencyTarget != defaultClass.Deadline || defaultClass.Value != 1 {
+	if defaultClass := settings.Classes[1]; defaultClass.Idempotency != policy.NonIdempotent ||
+		defaultClass.DedupScope != policy.DedupCell || defaultClass.LatencyTarget != defaultClass.Deadline || defaultClass.Value != 1 {
 		t.Errorf("class without most keys %+v: not the safe defaults", defaultClass)
 	}
 }
