--- a/internal/standin/answer.go
+++ b/internal/standin/answer.go
@@ -15,7 +15,7 @@
 	CalledAt        time.Time // time at which the call arrived
 	FirstByteAt     time.Time // time at which the first byte of the answer was written; zero before
 	VersionRestarts int       // number of restarts of the replica's versions before the call
-	List            List
+	List            List      // list that answers the call
 }
 
 // AnswerObserver receives reports of what a replica writes to its callers.
@@ -29,7 +29,7 @@
 	Abandoned(answer *Answer)
 }
 
-// observedWriter reports to an observer what is written through it, whatever the size of the single writes.
+// observedWriter reports to an observer what is written through it, however it is split into writes.
 type observedWriter struct {
 	http.ResponseWriter
 	answer             *Answer
@@ -88,11 +88,11 @@
 // finish ends the handling of a call. It reports a caller that disconnected before the message was
 // complete; otherwise it flushes what was written, unless the connection was taken over.
 func (w *observedWriter) finish(request *http.Request) {
-	hasLeft := request.Context().Err() != nil
-	if hasLeft && !w.completeReported && w.observer != nil {
+	hasDisconnected := request.Context().Err() != nil
+	if hasDisconnected && !w.completeReported && w.observer != nil {
 		w.observer.Abandoned(w.answer)
 	}
-	if !hasLeft && !w.hijacked && len(w.written) > 0 {
+	if !hasDisconnected && !w.hijacked && len(w.written) > 0 {
 		w.FlushError()
 	}
 }
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -47,7 +47,7 @@
 	entries []Entry
 }
 
-// Discovery is a discovery service that speaks the published protocol: it answers calls for the whole list,
+// Discovery is a discovery service that speaks the discovery protocol: it answers calls for the whole list,
 // and watches, which wait for changes. It is safe for concurrent use.
 type Discovery struct {
 	server *httptest.Server
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -15,11 +15,11 @@
 	Writer  http.ResponseWriter
 	Request *http.Request
 
-	discovery        *Discovery
-	faultChanged     <-chan struct{} // channel that is closed when the fault of the service changes
-	framing          *Framing        // framing of the answer; nil: compact text with a Content-Length
-	awaitAnswer      func() ([]byte, error)
-	beganBeforeFault bool // the call arrived before the fault was set
+	discovery        *Discovery             // service that received the call; nil if a Replica received it
+	faultChanged     <-chan struct{}        // channel that is closed when the fault of the service changes
+	framing          *Framing               // framing of the answer; nil: compact text with a Content-Length
+	awaitAnswer      func() ([]byte, error) // returns the text of the answer as soon as there is one
+	beganBeforeFault bool                   // the call arrived before the fault was set
 }
 
 // Answer writes discovery's answer as soon as there is one.
--- a/internal/standin/history.go
+++ b/internal/standin/history.go
@@ -13,9 +13,10 @@
 
 const (
 	// versionBase is the number from which a replica with offset 0 counts its versions: it gives the first
-	// revision of a history version 101. restartVersion is the version that a replica gives to the current
-	// revision when its versions restart.
-	versionBase    = 100
+	// revision of a history version 101.
+	versionBase = 100
+
+	// restartVersion is the version that a replica gives to the current revision when its versions restart.
 	restartVersion = 20
 )
 
@@ -125,7 +126,7 @@
 // isStale reports whether the call with the given number is stale.
 func (s StalePattern) isStale(call int) bool { return s.Period > 0 && call%s.Period < s.Count }
 
-// Replica is a discovery service that serves a history with a lag. It speaks the published protocol and is
+// Replica is a discovery service that serves a history with a lag. It speaks the discovery protocol and is
 // safe for concurrent use.
 type Replica struct {
 	history  *History
@@ -190,7 +191,8 @@
 	r.stalePattern = pattern
 }
 
-// Restart closes all connections and restarts the versions, which go back.
+// Restart closes all connections and restarts the versions: that of the current revision goes back to
+// restartVersion.
 func (r *Replica) Restart() {
 	latest := r.history.revisionCount()
 	r.mu.Lock()
@@ -214,7 +216,7 @@
 	request       *http.Request
 	answer        *Answer
 	stale         *StalePattern // pattern that makes the call stale; nil: it is not stale
-	versionOffset int
+	versionOffset int           // version offset of the replica when the call arrived
 }
 
 // ServeHTTP implements http.Handler. A fault applies to open watches as well as to calls that arrive later.
--- a/internal/standin/history_test.go
+++ b/internal/standin/history_test.go
@@ -165,8 +165,10 @@
 			time.Sleep(50 * time.Millisecond) // the report follows the flush
 			written.mu.Lock()
 			defer written.mu.Unlock()
-			if len(written.entries) != testCase.wantEntries || (written.completed == 1) != testCase.wantComplete || written.completing != written.completed {
-				t.Errorf("reported: %d entries, %d complete messages, %d messages about to be complete", len(written.entries), written.completed, written.completing)
+			if len(written.entries) != testCase.wantEntries || (written.completed == 1) != testCase.wantComplete ||
+				written.completing != written.completed {
+				t.Errorf("reported: %d entries, %d complete messages, %d messages about to be complete",
+					len(written.entries), written.completed, written.completing)
 			}
 		})
 	}
--- a/internal/standin/proxy.go
+++ b/internal/standin/proxy.go
@@ -29,10 +29,8 @@
 func (f LinkFault) String() string { return linkFaultNames[f] }
 
 const (
-	// linkDelay is the delay of LinkDelays for each chunk of bytes, and trickleInterval the pause of
-	// LinkTrickles after each byte.
-	linkDelay       = 250 * time.Millisecond
-	trickleInterval = 2 * time.Millisecond
+	linkDelay       = 250 * time.Millisecond // delay of LinkDelays for each chunk of bytes
+	trickleInterval = 2 * time.Millisecond   // pause of LinkTrickles after each byte
 )
 
 // Proxy forwards TCP connections to one address and injects faults into them. It is safe for concurrent
