--- a/cmd/otterstep/discovery_faults_test.go
+++ b/cmd/otterstep/discovery_faults_test.go
@@ -24,10 +24,10 @@
 //
 // The timeouts and retry intervals of calls were made for hundreds of nodes and one service that answers in 10 ms, and
 // applied to every fleet. A node dropped an answer that took more than 2 s, and then the next one, which was as late.
-// It made no other call while one got no answer. Retries were up to 5 s apart whatever the fleet size. The deadline of
-// the list was forgotten once it had passed.
+// It made no other call while one got no answer. Retries were up to 5 s apart whatever the fleet size. A node dropped
+// the list deadline once it had passed.
 //
-// In the incident's log, a call at 13.87 s was answered after 2.3 s, 0.06 s before the list was due, while calls that
+// In the incident's log, a call at 13.87 s was answered after 2.3 s, 0.06 s before the list deadline, while calls that
 // failed within 10 ms were followed by growing intervals. Under each fault below, the program of that time sent to
 // servers that had left for longer than the rules allow; under most of them it never stopped.
 
@@ -47,11 +47,11 @@
 // discoveryFaultCase is a fault of discovery that begins at the instant at which servers leave.
 type discoveryFaultCase struct {
 	name        string
-	newFault    func() standin.Fault
-	duration    time.Duration // duration of the fault; 0: to the end of the test
-	isPushed    bool          // an agent pushes lists; otherwise one service gives them on request
-	withReloads bool          // new configurations follow one another during the fault
-	atNodeStart bool          // the nodes start when the fault begins, with the list from before the change
+	newFault    func() standin.Fault // constructor of the fault, called once for each discovery service
+	duration    time.Duration        // duration of the fault; 0: to the end of the test
+	isPushed    bool                 // an agent pushes lists; otherwise one service gives them on request
+	withReloads bool                 // new configurations follow one another during the fault
+	atNodeStart bool                 // the nodes start when the fault begins, with the list from before the change
 
 	atWatchStart bool // the fault begins when a watch begins, so that the next watch is as far away as possible
 }
--- a/cmd/otterstep/drain_notice_test.go
+++ b/cmd/otterstep/drain_notice_test.go
@@ -32,7 +32,7 @@
 	observedAfterNotice = 5 * time.Second       // time for which a node is observed after the change, in most cases
 	maxReturnDelay      = 3 * time.Second       // time within which a server that came back has to get requests
 	requestPause        = 20 * time.Millisecond // pause between two requests of a client
-	leavingServerCount  = 8                     // number of leaving servers: enough that a node that may send to them soon does
+	leavingServerCount  = 8                     // number of leaving servers: so many that a node that may send to them does so soon
 	stayingServerCount  = 3                     // number of staying servers
 
 	maxConcurrentRuns = 16 // runs in parallel
@@ -45,9 +45,9 @@
 // drainNoticeCase is one order of events in which servers leave.
 type drainNoticeCase struct {
 	name             string
-	steps            func(r *drainNoticeRun)
-	modes            []string // modes of discovery; nil: both
-	needsRunningNode bool     // no additional run with SIGTERM, because the case needs a node that keeps running
+	steps            func(r *drainNoticeRun) // events of the case in their order, among them the change
+	modes            []string                // modes of discovery; nil: both
+	needsRunningNode bool                    // no additional run with SIGTERM, because the case needs a node that keeps running
 }
 
 // drainNoticeCases are the cases of TestServerGetsNoRequestsAfterItsDrainNotice.
@@ -199,7 +199,7 @@
 	observeUntil   time.Time // end of the observation
 	returnedAt     time.Time // time when the servers came back; zero: they do not
 	mustServeFrom  time.Time // time from which requests have to be served; zero: from the change on
-	notReadyReason string    // reason why a restarted node counts as not ready in time; empty: it was ready
+	notReadyReason string    // error text if a restarted node was not ready in time; empty: it was ready
 
 	mu                  sync.Mutex
 	log                 bytes.Buffer
@@ -294,7 +294,7 @@
 	}
 }
 
-// isReady reports whether the node says at /up that it is ready. It uses a separate connection.
+// isReady reports whether the node answers at /up that it is ready. It uses a separate connection.
 func (r *drainNoticeRun) isReady() bool {
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 	resp, err := client.Get("http://" + r.addr + "/up")
@@ -331,7 +331,7 @@
 func (r *drainNoticeRun) await(what string, condition func() bool) {
 	for end := time.Now().Add(readyTimeout); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Errorf("%s: waited in vain for %s; the log:\n%s", r.name(), what, r.logText())
+			r.t.Errorf("%s: timed out waiting for %s; the log:\n%s", r.name(), what, r.logText())
 			return
 		}
 	}
--- a/cmd/otterstep/main.go
+++ b/cmd/otterstep/main.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// run starts the node from the environment and returns when ctx is cancelled and the node has drained,
-// or with the error that keeps it from running.
+// run runs a node with the configuration that the environment names. It returns nil once ctx is cancelled
+// and the node has drained, or the error that kept the node from running.
 func run(ctx context.Context) error {
 	// SIGHUP is caught before anything else, because an uncaught SIGHUP ends the process. A buffer of one
 	// signal is enough: the file is read after the signal is received, so one reload covers all signals
@@ -48,7 +48,7 @@
 	return node.Run(ctx, config, node.ConfigReloader{Path: path, Signals: reloadSignals}, log)
 }
 
-// logLevel returns the lowest level that is logged: debug, info, warn or error. An empty name means info.
+// logLevel returns the level with the given name: debug, info, warn or error. An empty name means info.
 func logLevel(name string) (level slog.Level, err error) {
 	if name == "" {
 		return slog.LevelInfo, nil
--- a/cmd/otterstep/main_test.go
+++ b/cmd/otterstep/main_test.go
@@ -78,7 +78,7 @@
 		"seed":         {writeConfig(t, func(c map[string]any) { c["seed"] = "xyz" }), "seed"},
 		"sockets":      {writeConfig(t, func(c map[string]any) { c["limits"] = map[string]any{"sockets": 3} }), "sockets"},
 		"settings":     {writeConfig(t, func(c map[string]any) { delete(c, "settings") }), "settings"},
-		"module": {writeConfig(t, func(c map[string]any) {
+		"deadline": {writeConfig(t, func(c map[string]any) {
 			c["settings"] = map[string]any{"Classes": []any{map[string]any{"Name": "a", "DeadlineMs": -5}}}
 		}), "Deadline"},
 		"address": {writeConfig(t, func(c map[string]any) { c["listen"] = "127.0.0.1:99999" }), "listen"},
@@ -97,9 +97,9 @@
 	}
 }
 
-// TestSignalsUnderLoadLoseNoRequest guards rule 1 (no request is lost) during a reload and a planned restart under
-// load: each connection that arrives before the node stops accepting gets its complete answer, and the program
-// exits with 0.
+// TestSignalsUnderLoadLoseNoRequest guards the rule that no request is lost, during a reload and a planned restart
+// under load: each connection that arrives before the node stops accepting gets its complete answer, and the program
+// exits with code 0.
 func TestSignalsUnderLoadLoseNoRequest(t *testing.T) {
 	backend := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(100 * time.Millisecond)
--- a/cmd/otterstep/many_servers_test.go
+++ b/cmd/otterstep/many_servers_test.go
@@ -75,9 +75,9 @@
 type largeDiscovery struct {
 	entries        []string // JSON text of one entry per server
 	wholeList      []byte
-	wholeListCalls atomic.Int64 // number of calls for the whole list
-	bytesWritten   atomic.Int64 // bytes of all answers
-	listAccepted   chan struct{}
+	wholeListCalls atomic.Int64  // number of calls for the whole list
+	bytesWritten   atomic.Int64  // bytes of all answers
+	listAccepted   chan struct{} // closed at the first watch, which shows that the node has accepted the list
 	acceptedOnce   sync.Once
 }
 
@@ -112,7 +112,7 @@
 	d.bytesWritten.Add(int64(n))
 }
 
-// nodeMeasurement is what was measured of a node with a given number of servers.
+// nodeMeasurement holds the measured figures of a node with a given number of servers.
 type nodeMeasurement struct {
 	servers, requests, served      int
 	p50, p99                       time.Duration // latencies measured by the client
--- a/cmd/otterstep/missed_change_test.go
+++ b/cmd/otterstep/missed_change_test.go
@@ -8,7 +8,8 @@
 	"otterstep/internal/standin"
 )
 
-// missedChangeFaults begin at the instant of a change that open watches miss. Discovery can be reached all the time.
+// missedChangeFaults are faults that begin at the instant of a change that open watches miss. Discovery can be reached
+// all the time.
 var missedChangeFaults = []discoveryFaultCase{
 	{name: "each answer takes 4 s", newFault: withMissedChange(standin.DelayedAnswers(4 * time.Second))},
 	{name: "each answer takes 5 s", newFault: withMissedChange(standin.DelayedAnswers(5 * time.Second))},
@@ -22,14 +23,15 @@
 		standin.NoAnswer, standin.DelayedAnswers(3*time.Second))},
 }
 
-// withMissedChange returns a constructor of a fault: watches that are open when it begins miss what changes, and each
-// call meets the next of the given faults, in a cycle.
+// withMissedChange returns a constructor of a fault: watches that are open when it begins miss what changes, and each of
+// the given faults applies to one call, in a cycle.
 func withMissedChange(faults ...standin.Fault) func() standin.Fault {
 	return func() standin.Fault { return standin.OpenWatchesMissChanges(standin.Cycle(faults...)) }
 }
 
-// TestMissedChangeIsKnownInTimeThoughAnswersAreLate guards rule 3 (no request to a server that counts as known to be
-// out of service) where an open watch misses a change and discovery, from then on, answers late or fails some calls.
+// TestMissedChangeIsKnownInTimeThoughAnswersAreLate guards the rule that no request goes to a server that the
+// node has to know to be out of service, where an open watch misses a change and discovery, from then on, answers late or
+// fails some calls.
 func TestMissedChangeIsKnownInTimeThoughAnswersAreLate(t *testing.T) {
 	for _, fault := range missedChangeFaults {
 		t.Run(strings.ReplaceAll(fault.name, " ", "_"), func(t *testing.T) {
--- a/cmd/otterstep/paused_node_test.go
+++ b/cmd/otterstep/paused_node_test.go
@@ -11,9 +11,9 @@
 )
 
 // TestNodePausedAtSIGTERMAnswersBeforeTheKill guards against losing requests at a shutdown when the process is paused
-// while SIGTERM arrives: the node has to give all answers before the kill, whose time counts from the signal and not
-// from when the node handles it. The request that could be lost comes late, on an open connection, and its server
-// never answers it.
+// while SIGTERM arrives: the node has to give all answers before the kill, and the time until the kill counts from the
+// signal, not from when the node handles it. The request that could be lost comes late, on an open connection, and its
+// server never answers it.
 func TestNodePausedAtSIGTERMAnswersBeforeTheKill(t *testing.T) {
 	t.Parallel()
 	const (
--- a/cmd/otterstep/restart_test.go
+++ b/cmd/otterstep/restart_test.go
@@ -19,7 +19,7 @@
 // readyTimeout is the time within which nine in ten restarted nodes have to be ready.
 const readyTimeout = 10 * time.Second
 
-// startServer starts a billing server on loopback and returns its address.
+// startServer starts a server on loopback that uses the given handler, and returns its address.
 func startServer(t *testing.T, handler http.Handler) (addr string) {
 	t.Helper()
 	s := httptest.NewServer(handler)
@@ -148,10 +148,10 @@
 	}
 }
 
-// TestRestartedNodeSendsNothingToServersThatAreGone guards rule 3 (no request to a server that counts as known to be
-// out of service) after a restart: a change made while the node was down may count as known to it before its first
-// call to discovery. The node cannot tell, so it must not serve from its old list until discovery has answered, also
-// where the first calls fail.
+// TestRestartedNodeSendsNothingToServersThatAreGone guards the rule that no request goes to a server that the
+// node has to know to be out of service, after a restart: a change that was made while the node was down may be one that
+// it has to know before its first call to discovery. It cannot detect that, so it must not serve from its old list until
+// discovery has answered, also where the first calls fail.
 func TestRestartedNodeSendsNothingToServersThatAreGone(t *testing.T) {
 	delayedCall := standin.DelayedCalls(1200 * time.Millisecond)
 	for name, faults := range map[string][]standin.Fault{
@@ -197,7 +197,7 @@
 const maxConfirmationWait = 28 * time.Second
 
 // TestRestartedNodeServesWhileDiscoveryIsDown guards against a restarted node that never serves because a discovery
-// with lists on request is down. A change counts as known only once discovery can be reached, so the node refuses
+// with lists on request is down. The node has to know a change only once discovery can be reached, so it refuses
 // requests until shortly before it has to serve and then serves from its old list. When discovery returns, the node
 // has to know what changed within maxListAge.
 func TestRestartedNodeServesWhileDiscoveryIsDown(t *testing.T) {
@@ -243,7 +243,7 @@
 }
 
 // TestRestartedNodeSendsNothingWhileItsAgentIsDown guards against serving from an old list where an agent pushes
-// lists. What the agent has counts as known from the start of a new process. A node that cannot reach the agent has
+// lists. A new process has to know from its start what the agent has. A node that cannot reach the agent has
 // to be ready in time and send nothing, and it has to serve as soon as the agent answers.
 func TestRestartedNodeSendsNothingWhileItsAgentIsDown(t *testing.T) {
 	t.Parallel()
--- a/cmd/otterstep/soak_checker_test.go
+++ b/cmd/otterstep/soak_checker_test.go
@@ -31,7 +31,8 @@
 		t.Error("a reload brings the notice deadline forward")
 	}
 	env.recordChange("s-0", standin.InService, time.Now())
-	if !env.maySendTo("s-0", afterGrace.Add(time.Hour)) || !slices.ContainsFunc(env.changes, func(change soakChange) bool { return change.state == standin.InService }) {
+	if !env.maySendTo("s-0", afterGrace.Add(time.Hour)) ||
+		!slices.ContainsFunc(env.changes, func(change soakChange) bool { return change.state == standin.InService }) {
 		t.Error("a server that is back in service may be sent to")
 	}
 }
@@ -55,8 +56,8 @@
 	}
 }
 
-// A change that a lagging address gets late counts from then on. What an agent told the node before a new configuration
-// still counts after it.
+// A change that a lagging address gets late counts from then on. What an agent pushed to the node before a new
+// configuration still counts after it.
 func TestSoakCheckerAllowsForAnAddressThatLags(t *testing.T) {
 	const lag = 5 * time.Second
 	const bound = drainGrace + soakSchedulingSlack + time.Millisecond
@@ -105,8 +106,8 @@
 	}
 }
 
-// The process may not have read what an agent told it just before a new configuration, and an address that lags
-// does not repeat it. What the agent told it earlier still counts.
+// The process may not have read what an agent pushed just before a new configuration, and an address that lags does not
+// repeat it. What the agent pushed earlier still counts.
 func TestSoakCheckerAllowsForAnAddressChangeJustAfterANotice(t *testing.T) {
 	const lag = 5 * time.Second
 	const bound = drainGrace + soakSchedulingSlack + time.Millisecond
@@ -119,15 +120,16 @@
 		env.recordChange("s-0", standin.Terminating, at)
 		env.configured = &soakAddress{lag: lag}
 		env.recordReload(at.Add(timeSinceChange))
-		if afterGrace := at.Add(deadline + bound); !env.maySendTo("s-0", afterGrace.Add(-2*time.Millisecond)) || env.maySendTo("s-0", afterGrace) {
+		if afterGrace := at.Add(deadline + bound); !env.maySendTo("s-0", afterGrace.Add(-2*time.Millisecond)) ||
+			env.maySendTo("s-0", afterGrace) {
 			t.Errorf("reload %v after the change: the notice deadline is not %v after the change", timeSinceChange, deadline)
 		}
 	}
 }
 
-// In pushed mode a process may send nothing before its agent's first whole answer. Answers to calls of the process
-// before and partial answers do not count.
-func TestSoakCheckerSeesSendsBeforeTheFirstWholeAnswer(t *testing.T) {
+// In pushed mode a process may send nothing before its agent's first complete answer. Answers to calls of the previous
+// process and partial answers do not count.
+func TestSoakCheckerSeesSendsBeforeTheFirstCompleteAnswer(t *testing.T) {
 	env := &soakEnvironment{t: t, isPushed: true, configured: &soakAddress{}, requests: map[string]*soakRequest{}}
 	env.recordProcessStart(standin.List{Entries: []standin.Entry{newSoakEntry(standin.InService, 7)}})
 	env.requests["r"] = &soakRequest{processNumber: env.processNumber}
@@ -138,16 +140,16 @@
 		t.Errorf("a request before the first answer: %q", env.violations)
 	}
 	formerAnswer := &standin.Answer{CalledAt: time.Now().Add(-time.Minute), FirstByteAt: time.Now()}
-	observer.Completing(formerAnswer) // an answer to a call of the process before
+	observer.Completing(formerAnswer) // an answer to a call of the previous process
 	observer.EntriesWritten(answer, answer.List.Entries, false)
 	env.checkSend(soakServerUID(0), "r", time.Now())
 	if len(env.violations) != 2 {
-		t.Errorf("a request before the first whole answer: %q", env.violations)
+		t.Errorf("a request before the first complete answer: %q", env.violations)
 	}
 	observer.Completing(answer)
 	env.checkSend(soakServerUID(0), "r", time.Now())
 	if len(env.violations) != 2 {
-		t.Errorf("a request after the first whole answer: %q", env.violations[2:])
+		t.Errorf("a request after the first complete answer: %q", env.violations[2:])
 	}
 }
 
@@ -158,7 +160,8 @@
 	env.recordProcessStart(standin.List{Entries: []standin.Entry{newSoakEntry(standin.InService, 7)}})
 	env.requests["r"] = &soakRequest{processNumber: env.processNumber}
 	observer := &soakObserver{env: env, address: env.configured}
-	answer := &standin.Answer{CalledAt: time.Now(), FirstByteAt: time.Now(), List: standin.List{Version: 2, Entries: []standin.Entry{newSoakEntry(standin.Terminating, 7)}}}
+	answer := &standin.Answer{CalledAt: time.Now(), FirstByteAt: time.Now(),
+		List: standin.List{Version: 2, Entries: []standin.Entry{newSoakEntry(standin.Terminating, 7)}}}
 	observer.EntriesWritten(answer, answer.List.Entries, false)
 	bound := drainGrace + soakSchedulingSlack + soakMaxLinkDelay
 	env.checkSend(soakServerUID(0), "r", time.Now())
@@ -229,10 +232,13 @@
 		env  *soakEnvironment
 		want int
 	}{
-		"discovery is reachable":       {&soakEnvironment{fleetSize: 1}, 1},
-		"an outage just ended":         {&soakEnvironment{fleetSize: 1, pastOutages: []soakOutage{{at.Add(-time.Minute), at.Add(time.Millisecond - excuseDuration)}}}, 0},
-		"an outage ended long ago":     {&soakEnvironment{fleetSize: 1, pastOutages: []soakOutage{{at.Add(-time.Minute), at.Add(-time.Millisecond - excuseDuration)}}}, 1},
-		"an outage begins later":       {&soakEnvironment{fleetSize: 1, pastOutages: []soakOutage{{at.Add(time.Second), at.Add(time.Minute)}}}, 1},
+		"discovery is reachable": {&soakEnvironment{fleetSize: 1}, 1},
+		"an outage just ended": {&soakEnvironment{fleetSize: 1,
+			pastOutages: []soakOutage{{at.Add(-time.Minute), at.Add(time.Millisecond - excuseDuration)}}}, 0},
+		"an outage ended long ago": {&soakEnvironment{fleetSize: 1,
+			pastOutages: []soakOutage{{at.Add(-time.Minute), at.Add(-time.Millisecond - excuseDuration)}}}, 1},
+		"an outage begins later": {&soakEnvironment{fleetSize: 1,
+			pastOutages: []soakOutage{{at.Add(time.Second), at.Add(time.Minute)}}}, 1},
 		"the process has just started": {&soakEnvironment{fleetSize: 1, processStarts: []time.Time{at.Add(-time.Second)}}, 0},
 		"a large fleet":                {&soakEnvironment{fleetSize: soakSmallFleetMaxNodes + 1}, 0},
 	} {
--- a/cmd/otterstep/soak_delivery_checker_test.go
+++ b/cmd/otterstep/soak_delivery_checker_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// An entry that takes a server out of service counts as soon as it is written, whatever becomes of its message. Until
-// the end of the drain grace the server may be sent to.
+// An entry that takes a server out of service counts as soon as it is written, even if its message stays incomplete.
+// Until the end of the drain grace the node may send to the server.
 func TestSoakDeliveryCheckerSeesAServerThatWasWrittenAsOutOfService(t *testing.T) {
 	const writtenAfter = time.Second
 	const bound = writtenAfter + drainGrace + soakSchedulingSlack
@@ -88,7 +88,7 @@
 	}
 }
 
-// A server returns to service by a later version of the address that took it out, by a later start, or by another
+// A server returns to service by a later version of the address that took it out, by a later incarnation, or by another
 // address that has had time to catch up, and by nothing else.
 func TestSoakDeliveryCheckerKnowsWhatReturnsAServerToService(t *testing.T) {
 	const later = time.Minute / 2
@@ -110,7 +110,7 @@
 		"an earlier version": {func(fixture *deliveryFixture) {
 			fixture.writeAnswer(0, fixture.newAnswer(0, 4, true, inService), true, later)
 		}, later, true},
-		"a later start": {func(fixture *deliveryFixture) {
+		"a later incarnation": {func(fixture *deliveryFixture) {
 			fixture.writeAnswer(0, fixture.newAnswer(0, 4, true, restarted), true, later)
 		}, later, false},
 		"a later version of another address": {func(fixture *deliveryFixture) {
@@ -169,7 +169,7 @@
 			fixture.writeAnswer(0, fixture.newAnswer(0, 6, false, newSoakEntry(standin.InService, 7)), true, writtenAfter)
 			fixture.writeAnswer(0, fixture.newAnswer(0, 5, false, outOfService), true, writtenAfter)
 		},
-		"an earlier start": func(fixture *deliveryFixture) {
+		"an earlier incarnation": func(fixture *deliveryFixture) {
 			fixture.writeAnswer(0, fixture.newAnswer(0, 5, false, newSoakEntry(standin.Terminating, 6)), true, writtenAfter)
 		},
 	} {
@@ -179,6 +179,7 @@
 	}
 	fixture := newDeliveryFixture(t)
 	fixture.writeAnswer(0, fixture.newAnswer(0, 5, false, outOfService), true, writtenAfter)
-	fixture.checker.recordLinkChange(fixture.addresses[0], standin.LinkResets, fixture.timeAfter(writtenAfter+maxUnreadTime+time.Millisecond))
+	fixture.checker.recordLinkChange(fixture.addresses[0], standin.LinkResets,
+		fixture.timeAfter(writtenAfter+maxUnreadTime+time.Millisecond))
 	fixture.expectForbidden(true, time.Hour, "a link that breaks some time after the write")
 }
--- a/cmd/otterstep/soak_delivery_test.go
+++ b/cmd/otterstep/soak_delivery_test.go
@@ -17,23 +17,23 @@
 	maxUnreadTime = soakPauseDuration + 100*time.Millisecond
 )
 
-// soakLinkState tells whether the link to an address has a fault.
+// soakLinkState records whether the link to an address has a fault.
 type soakLinkState struct {
 	isFaulty bool
-	since    time.Time
+	since    time.Time // time of the latest change of the link
 }
 
 // deliveryChecker records what the addresses of discovery have written to one process, and decides by that alone
-// whether the process may send to a server. An entry counts as soon as it was written, whatever becomes of the rest
-// of its message.
+// whether the process may send to a server. An entry counts as soon as it was written, even if the rest of its
+// message never is.
 type deliveryChecker struct {
-	processStartedAt time.Time                 // when the process started
+	processStartedAt time.Time                 // time at which the process started
 	configured       *soakAddress              // address that the configuration names
-	addressChangedAt time.Time                 // when the configuration began to name it
-	entries          map[string][]writtenEntry // by UID, in the order of writing
-	linkStates       map[int]soakLinkState     // by number of the address
-	isConfirmed      bool                      // whether a whole message was written
-	knownBootMs      map[string]int64          // starts in the configured list, by UID
+	addressChangedAt time.Time                 // time at which the configuration began to name that address
+	entries          map[string][]writtenEntry // entries by UID, in the order of writing
+	linkStates       map[int]soakLinkState     // states of the links, by number of the address
+	isConfirmed      bool                      // whether a complete message was written
+	knownBootMs      map[string]int64          // start times in the configured list, by UID
 }
 
 // newDeliveryChecker returns a checker for a process that starts with the list of its configuration.
@@ -66,15 +66,16 @@
 	})
 }
 
-// recordAbandoned records that the process left a call before the message was whole. It may not have read the last
-// part.
+// recordAbandoned records that the process abandoned a call before the message was complete. It may not have read the
+// last part.
 func (c *deliveryChecker) recordAbandoned(addressNumber, callNumber int, at time.Time) {
 	c.markMayBeLost(func(entry writtenEntry) bool {
-		return entry.source.addressNumber == addressNumber && entry.callNumber == callNumber && !entry.writtenAt.Before(at.Add(-maxUnreadTime))
+		return entry.source.addressNumber == addressNumber && entry.callNumber == callNumber &&
+			!entry.writtenAt.Before(at.Add(-maxUnreadTime))
 	})
 }
 
-// markMayBeLost marks the entries that the process may not have received.
+// markMayBeLost marks the entries for which mayBeLost returns true: the process may not have received them.
 func (c *deliveryChecker) markMayBeLost(mayBeLost func(writtenEntry) bool) {
 	for _, entries := range c.entries {
 		for i, entry := range entries {
@@ -95,7 +96,7 @@
 }
 
 // recordCompleting records the servers that a message has in service, just before its end is written. They count
-// only in a whole message.
+// only in a complete message.
 func (c *deliveryChecker) recordCompleting(address *soakAddress, answer *standin.Answer, at time.Time) {
 	c.isConfirmed = true
 	for _, entry := range answer.List.Entries {
@@ -107,7 +108,9 @@
 
 // recordWritten records the servers that written entries take out of service. Once a whole list is complete, those
 // that it does not name are out of service, too.
-func (c *deliveryChecker) recordWritten(address *soakAddress, answer *standin.Answer, entries []standin.Entry, complete bool, at time.Time) {
+func (c *deliveryChecker) recordWritten(
+	address *soakAddress, answer *standin.Answer, entries []standin.Entry, complete bool, at time.Time,
+) {
 	for _, entry := range entries {
 		if isOutOfService(entry) {
 			c.addEntry(entry.UID, c.entryOf(address, answer, entry.BootMs, true, at))
@@ -127,11 +130,12 @@
 	}
 }
 
-// entryOf returns what an answer says of a server.
+// entryOf returns the entry for one server of an answer that was written at the given time.
 func (c *deliveryChecker) entryOf(address *soakAddress, answer *standin.Answer, bootMs int64, isOut bool, at time.Time) writtenEntry {
 	return writtenEntry{
-		writtenAt: at, source: soakSource{addressNumber: address.number, versionRestarts: answer.VersionRestarts}, callNumber: answer.CallNumber,
-		version: answer.List.Version, bootMs: bootMs, isOut: isOut, mayBeLost: !c.isSureToArrive(address, answer),
+		writtenAt: at, source: soakSource{addressNumber: address.number, versionRestarts: answer.VersionRestarts},
+		callNumber: answer.CallNumber, version: answer.List.Version, bootMs: bootMs, isOut: isOut,
+		mayBeLost: !c.isSureToArrive(address, answer),
 	}
 }
 
@@ -157,7 +161,7 @@
 	for _, entry := range c.entries[uid] {
 		switch {
 		case entry.bootMs == unlistedBootMs && !incarnation.isReceived:
-			continue // the process may never have heard of the server
+			continue // the process may not know the server at all
 		case entry.bootMs == unlistedBootMs:
 			entry.bootMs = incarnation.bootMs
 		case entry.bootMs < incarnation.bootMs:
--- a/cmd/otterstep/soak_environment_test.go
+++ b/cmd/otterstep/soak_environment_test.go
@@ -18,7 +18,7 @@
 	uid            string
 	state          string
 	madeAt         time.Time
-	noticeDeadline time.Time // when a node has to know it
+	noticeDeadline time.Time // time by which a node has to know the change
 
 	mustBeKnown bool // discovery was reachable for soakMinReachableTime after it, so no later outage excuses the node
 }
@@ -36,9 +36,9 @@
 
 // soakRequest records a client's request.
 type soakRequest struct {
-	deadline      time.Time // when the client's time is over
-	processNumber int       // number of the process that it was sent to
-	receivedCount int       // number of times that a server received it
+	deadline      time.Time // time at which the client's time is over
+	processNumber int       // number of the process that the request was sent to
+	receivedCount int       // number of times that a server received the request
 }
 
 // soakEnvironment holds the stand-ins and the state that they share. It checks each request that reaches a server.
@@ -75,7 +75,7 @@
 	env.timeline = append(env.timeline, withTimestamp(format, args...))
 }
 
-// recordStalls records when the test's own process stalls. Delays at such times are not the node's.
+// recordStalls records when the test's own process stalls. The node does not cause delays at such times.
 func (env *soakEnvironment) recordStalls(ctx context.Context) {
 	const interval, threshold = 20 * time.Millisecond, 300 * time.Millisecond
 	for ctx.Err() == nil {
@@ -94,8 +94,8 @@
 	return env.configured
 }
 
-// setServerState puts a server into a state. If restarted is set, the server has started anew; a server that
-// returns without a new start has had its drain called off.
+// setServerState puts a server into a state. If restarted is set, the server has restarted; a server that
+// returns without a restart has had its drain cancelled.
 func (env *soakEnvironment) setServerState(uid, state string, restarted bool) {
 	env.changeMu.Lock()
 	defer env.changeMu.Unlock()
@@ -134,7 +134,8 @@
 	defer env.mu.Unlock()
 	env.outageSince = at
 	reachableSince := at.Add(-soakMinReachableTime)
-	if env.isPushed || env.fleetSize > soakSmallFleetMaxNodes || env.addressChangedAt.After(reachableSince) || env.lastOutageEnd().After(reachableSince) {
+	if env.isPushed || env.fleetSize > soakSmallFleetMaxNodes ||
+		env.addressChangedAt.After(reachableSince) || env.lastOutageEnd().After(reachableSince) {
 		return
 	}
 	for i, change := range env.changes {
@@ -168,8 +169,8 @@
 }
 
 // recordReload records that a new configuration names another address of discovery. A node has to know what
-// that address has maxAddressChangeDelay after the reload, also if an agent has had it before. For a change that
-// the address gets only later, the time counts from then on.
+// that address has maxAddressChangeDelay after the reload, also in pushed mode, in which it otherwise has to know
+// at once what the agent has. For a change that the address gets only later, the time counts from then on.
 func (env *soakEnvironment) recordReload(reloadedAt time.Time) {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -177,7 +178,8 @@
 		visibleAt, deadline := change.madeAt.Add(env.configured.lag), reloadedAt.Add(maxAddressChangeDelay)
 		settledBefore := reloadedAt // deadlines before this time were met with the former address
 		if env.isPushed && visibleAt.After(reloadedAt) {
-			// The process may not have read a change that had just come, and the new address does not repeat it at once.
+			// The process may not have read a change that was pushed just before the reload, and the new address does
+			// not repeat it at once.
 			settledBefore = reloadedAt.Add(-maxUnreadTime)
 		}
 		switch {
@@ -203,7 +205,8 @@
 		if change.uid != uid {
 			continue
 		}
-		if change.noticeDeadline.Add(drainGrace+soakSchedulingSlack).After(at) || !env.outageSince.IsZero() && !change.mustBeKnown && !change.noticeDeadline.Before(env.outageSince) {
+		if change.noticeDeadline.Add(drainGrace+soakSchedulingSlack).After(at) ||
+			!env.outageSince.IsZero() && !change.mustBeKnown && !change.noticeDeadline.Before(env.outageSince) {
 			return true // the node may or may not know this change
 		}
 		state = change.state
@@ -222,7 +225,7 @@
 	for i, change := range env.changes {
 		visibleAt := change.madeAt.Add(env.configured.lag)
 		if env.isPushed && visibleAt.After(now) && visibleAt.After(change.noticeDeadline) {
-			// The lagging agent does not have the change yet, and nothing else tells the new process.
+			// The lagging agent does not have the change yet, and nothing else notifies the new process of it.
 			env.changes[i].noticeDeadline = visibleAt
 		}
 	}
@@ -252,7 +255,7 @@
 func (env *soakEnvironment) checkSend(uid, id string, receivedAt time.Time) {
 	sentAt := receivedAt.Add(-soakMaxLinkDelay)
 	if !env.maySendTo(uid, sentAt) {
-		env.recordViolation(violationDrain, "request %s went to %s, which the node has to know is out of service", id, uid)
+		env.recordViolation(violationDrain, "request %s went to %s, which the node has to know to be out of service", id, uid)
 	}
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -261,10 +264,12 @@
 		return // checkReceivedRequest reports unknown requests; the others are of a process that has ended
 	}
 	if reason, isForbidden := env.deliveries.forbidsSend(uid, sentAt, receivedAt); isForbidden {
-		env.recordViolationLocked(violationWritten, "request %s went to %s, which was written to the process as out of service: %s", id, uid, reason)
+		env.recordViolationLocked(violationWritten,
+			"request %s went to %s, which was written to the process as out of service: %s", id, uid, reason)
 	}
 	if env.isPushed && !env.deliveries.isConfirmed {
-		env.recordViolationLocked(violationUnconfirmed, "request %s went to %s before the process got a whole answer from its agent", id, uid)
+		env.recordViolationLocked(violationUnconfirmed,
+			"request %s went to %s before the process got a complete answer from its agent", id, uid)
 	}
 }
 
@@ -285,7 +290,8 @@
 		env.recordViolationLocked(violationDuplicate, "request %s was received more than once", id)
 	}
 	if err != nil || now.Add(timeLeft).After(request.deadline.Add(150*time.Millisecond+soakMaxLinkDelay+soakSchedulingSlack)) {
-		env.recordViolationLocked(violationDeadline, "request %s states X-Time-Left %v, its client has %v left", id, timeLeft, request.deadline.Sub(now))
+		env.recordViolationLocked(violationDeadline, "request %s states X-Time-Left %v, its client has %v left",
+			id, timeLeft, request.deadline.Sub(now))
 	}
 }
 
--- a/cmd/otterstep/soak_faults_test.go
+++ b/cmd/otterstep/soak_faults_test.go
@@ -16,8 +16,8 @@
 	time.Sleep(shortest + time.Duration(rng.Float64()*float64(longest-shortest)))
 }
 
-// churnServers has servers drain, leave and return, except the first two, which stay. Some return without a new
-// start, and some changes happen while the process is suspended.
+// churnServers has servers drain, leave and return, except the first two, which stay. Some return without a
+// restart, and some changes happen while the process is suspended.
 func (env *soakEnvironment) churnServers(ctx context.Context, node *soakNode, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	for ctx.Err() == nil {
@@ -183,7 +183,8 @@
 	}
 }
 
-// degradedAnswers has discovery be slow, refuse some calls or spoil some of its answers for 3 to 10 s.
+// degradedAnswers makes discovery slow, or has it refuse some calls or truncate or malform some of its answers, for 3 to
+// 10 s.
 func (env *soakEnvironment) degradedAnswers() {
 	env.withDiscoveryFault([]namedFault{
 		{"calls late by 1 s", standin.DelayedCalls(time.Second)},
@@ -231,7 +232,7 @@
 	env.recordEvent("discovery: no fault")
 }
 
-// staleAnswers has servers drain while discovery answers some calls with a state from before.
+// staleAnswers has servers drain while discovery answers some calls with an earlier state.
 func (env *soakEnvironment) staleAnswers() {
 	patterns := []standin.StalePattern{{Count: 1, Period: 2}, {Count: 2, Period: 4}, {Count: 2, Period: 3}, {Count: 3, Period: 5}}
 	pattern := patterns[env.rng.IntN(len(patterns))]
@@ -316,9 +317,9 @@
 	sleepFor(env.rng, 0, time.Second)
 	env.recordEvent("the process is ended")
 	end()
-	sleepFor(env.rng, 0, 2*maxListAge) // the new process may have to know changes of this time at once
+	sleepFor(env.rng, 0, 2*maxListAge) // the new process may have to know changes that are made meanwhile at once
 	env.recordEvent("a process starts")
-	node.start(knownList, syscall.SIGHUP) // the configuration has not changed
+	node.start(knownList, syscall.SIGHUP) // SIGHUP has it reload an unchanged configuration
 	env.recordEvent("the process is ready")
 }
 
@@ -347,7 +348,7 @@
 	return next
 }
 
-// drainServer has a server in service drain, and gives the node time to learn of it.
+// drainServer has one of the servers in service drain, and gives the node time to be notified of it.
 func (env *soakEnvironment) drainServer() {
 	offset := env.rng.IntN(soakServerCount - 2)
 	for i := range soakServerCount - 2 {
@@ -402,7 +403,8 @@
 
 // finishReload records a change of the configured address, and closes the other addresses some time after it.
 func (env *soakEnvironment) finishReload(reloadedAt time.Time) {
-	// Changes whose deadline has not passed count only once the new address has been heard from.
+	// The node may not have the list of the new address yet. Until recordReload sets new notice deadlines, it need not
+	// know changes whose notice deadline has not passed.
 	env.recordOutageStart(reloadedAt)
 	time.Sleep(time.Until(reloadedAt.Add(1500 * time.Millisecond)))
 	for _, address := range env.addresses {
--- a/cmd/otterstep/soak_incarnation_test.go
+++ b/cmd/otterstep/soak_incarnation_test.go
@@ -8,31 +8,31 @@
 	versionRestarts int // number of restarts of the versions so far
 }
 
-// writtenEntry is what a message to the process says of a server.
+// writtenEntry is the entry of a server in a message to the process, or the absence of the server from a whole list.
 type writtenEntry struct {
 	writtenAt  time.Time
 	source     soakSource
 	callNumber int
 	version    int64
-	bootMs     int64 // start of the server, or unlistedBootMs
+	bootMs     int64 // start of the server in Unix milliseconds, or unlistedBootMs
 	isOut      bool  // whether the server is out of service
-	mayBeLost  bool  // whether the process may not have received it
+	mayBeLost  bool  // whether the process may not have received the entry
 }
 
-// unlistedBootMs stands for the start of a server that a whole list does not name: the entry holds for the latest
+// unlistedBootMs stands for the start of a server that a whole list does not name: the entry applies to the latest
 // known incarnation.
 const unlistedBootMs = -1
 
 // soakIncarnation is a server from one start to the next, as the entries that were written to a process describe it.
 type soakIncarnation struct {
 	bootMs            int64
-	isReceived        bool                 // whether the process has surely received an entry of it
-	inServiceVersions map[soakSource]int64 // latest version by source that has it in service
-	isOut             bool                 // whether it is out of service
-	firstOutAt        time.Time            // when the first entry that took it out of service was written
-	lastOutAt         time.Time            // when the last such entry was written that surely arrived
-	noticeByAddress   map[int]writtenEntry // latest such entry by address
-	listedByAddress   int                  // address whose latest entry has it in service, -1 if none
+	isReceived        bool                 // whether the process has surely received an entry of the incarnation
+	inServiceVersions map[soakSource]int64 // latest version that has the incarnation in service, by source
+	isOut             bool                 // whether the incarnation is out of service
+	firstOutAt        time.Time            // time of writing of the first entry that took it out of service
+	lastOutAt         time.Time            // time of writing of the last such entry that surely arrived
+	noticeByAddress   map[int]writtenEntry // latest entry that takes it out of service, by number of the address
+	listedByAddress   int                  // number of the address whose latest entry has it in service; -1: none
 }
 
 func newSoakIncarnation(bootMs int64) *soakIncarnation {
@@ -74,7 +74,8 @@
 	if inc.listedByAddress == addressNumber {
 		inc.listedByAddress = -1
 	}
-	if previous, hasPrevious := inc.noticeByAddress[addressNumber]; hasPrevious && previous.source == entry.source && previous.version > entry.version {
+	if previous, hasPrevious := inc.noticeByAddress[addressNumber]; hasPrevious &&
+		previous.source == entry.source && previous.version > entry.version {
 		return
 	}
 	inc.noticeByAddress[addressNumber] = entry
--- a/cmd/otterstep/soak_test.go
+++ b/cmd/otterstep/soak_test.go
@@ -24,7 +24,7 @@
 //   - The process gets signals one by one and in series, is suspended, or is killed and starts again with an
 //     old list, also while discovery is down.
 //   - The configuration file is half written for some time.
-//   - Servers drain, leave and return, with and without a new start.
+//   - Servers drain, leave and return, with and without a restart.
 //
 // Meanwhile discovery frames its answers in many ways. Clients use open connections until the process is
 // killed, which happens as early as the rules allow. In some runs silent connections fill the descriptors.
@@ -124,7 +124,8 @@
 	var servedCount atomic.Int64
 	hasSilentConns := seed%4 == 1
 	for clientNumber := range soakClientCount {
-		client := soakClient{node: node, number: clientNumber, keepsConn: clientNumber%2 == 0, connMayBeEvicted: hasSilentConns, servedCount: &servedCount}
+		client := soakClient{node: node, number: clientNumber, keepsConn: clientNumber%2 == 0,
+			connMayBeEvicted: hasSilentConns, servedCount: &servedCount}
 		background.Go(func() { client.run(ctx) })
 	}
 	if hasSilentConns {
--- a/cmd/otterstep/soak_violations_test.go
+++ b/cmd/otterstep/soak_violations_test.go
@@ -10,9 +10,9 @@
 
 // The kinds of violations.
 const (
-	violationDrain        soakViolationKind = "drain"              // request to a server that the node has to know is out
-	violationWritten      soakViolationKind = "drain, written"     // request to a server that was written to the process as out
-	violationUnconfirmed  soakViolationKind = "drain, unconfirmed" // request before the agent's first whole answer to the process
+	violationDrain        soakViolationKind = "drain"              // request to a server that the node has to know to be out of service
+	violationWritten      soakViolationKind = "drain, written"     // request to a server that was written to the process as out of service
+	violationUnconfirmed  soakViolationKind = "drain, unconfirmed" // request before the agent's first complete answer to the process
 	violationLogged       soakViolationKind = "drain, logged"      // drain violation that the node logs itself
 	violationOverdue      soakViolationKind = "drain, overdue"     // overdue list that the node logs while discovery is reachable
 	violationLost         soakViolationKind = "lost"               // request without a final answer in time
