--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -14,8 +14,9 @@
 	return newRunner(t, settings, 10)
 }
 
-// Guards against a fleet that sends its retries to a few servers: while no server is known to be better than the
-// others, every node took the first in the list for the best. Three in four retries went to 10 of 179 servers.
+// Guards against a fleet that sends its retries to a few servers. While no server is known to be better than the
+// others, nodes must not all take the first in the list for the best: three in four retries go to 10 of 179 servers
+// then.
 func TestRetriesOfAFleetSpreadOverServers(t *testing.T) {
 	const nodes, servers = 100, 20
 	retriesByServer := map[ServerID]int{}
@@ -53,7 +54,7 @@
 	r := newAdmissionRunner(t)
 	for range 5 {
 		if id := r.sendRequest(0); len(r.serversSentTo(id)) != 1 {
-			t.Fatalf("request %d waits behind others of this node", id)
+			t.Fatalf("request %d waits for others of this node", id)
 		}
 	}
 }
@@ -87,8 +88,8 @@
 	}
 }
 
-// Guards against a concurrency limit that never grows: admission control updated controlUpdatedAt, which both
-// controls use, also on nodes that use the limit.
+// Guards against a concurrency limit that never grows: on nodes that use the limit, admission control must not update
+// controlUpdatedAt, which both controls use.
 func TestOutcomesDoNotStopTheLimitFromGrowing(t *testing.T) {
 	r := newRunner(t, testSettings(), 2)
 	r.serveRequests(3*minUnloadedSamples, 0, 20*ms)
@@ -158,7 +159,7 @@
 	}
 }
 
-// Guards against a retry storm of many nodes when all servers reject requests.
+// Guards against a retry storm of a fleet with many nodes when all servers reject requests.
 func TestRetryBudgetWhereNodesOutnumberServers(t *testing.T) {
 	r := newAdmissionRunner(t)
 	r.serveRequests(20, 0, 20*ms)
@@ -177,7 +178,7 @@
 	}
 }
 
-// Guards against single time-outs that take most of its admitted share from a node with few answers.
+// Guards against a single timeout that takes most of its admitted share from a node with few answers.
 func TestOneTimeoutHardlyLowersTheAdmittedShare(t *testing.T) {
 	r := newAdmissionRunner(t)
 	for i := range 60 {
@@ -195,7 +196,7 @@
 		}
 	}
 	if r.b.admittedShare < 0.8 {
-		t.Fatalf("admitted share %.2f with one time-out in 15 answers and quick answers otherwise, want 0.8 or more", r.b.admittedShare)
+		t.Fatalf("admitted share %.2f with one timeout in 15 answers and quick answers otherwise, want 0.8 or more", r.b.admittedShare)
 	}
 }
 
@@ -242,7 +243,8 @@
 		}
 		return r.b.admittedShare
 	}
-	if withoutPenalties, withPenalties := admitted(Penalties{}), admitted(Penalties{WastedWork: 0.3, LateFailure: 0.3}); withoutPenalties < 0.99 || withPenalties > 0.5 {
+	if withoutPenalties, withPenalties := admitted(Penalties{}),
+		admitted(Penalties{WastedWork: 0.3, LateFailure: 0.3}); withoutPenalties < 0.99 || withPenalties > 0.5 {
 		t.Fatalf("admitted share %.2f without penalties and %.2f with them, want 0.99 or more and 0.5 or less", withoutPenalties, withPenalties)
 	}
 }
--- a/policy/calls_test.go
+++ b/policy/calls_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// newOnRequestRunner returns a node of a fleet whose list comes on request. The node has just started with a
-// cached list.
+// newOnRequestRunner returns a runner for a node of a fleet whose list comes on request. The node has just started
+// with a cached list; confirm sets Settings.ConfirmCachedList.
 func newOnRequestRunner(t *testing.T, nodes int, seed uint64, confirm bool) *runner {
 	t.Helper()
 	settings := testSettings()
@@ -21,17 +21,17 @@
 	return r
 }
 
-// awaitNextCall advances the time until the next call begins.
+// awaitNextCall advances the time until the next call begins. The test fails if none begins before the deadline.
 func (r *runner) awaitNextCall(deadline time.Duration) {
 	r.t.Helper()
 	for calls := r.host.callCount; r.host.callCount == calls; r.advance(5 * ms) {
 		if r.now > deadline {
-			r.t.Fatalf("no call begins until %v after the time allowed", r.now-deadline)
+			r.t.Fatalf("no call has begun %v after the time allowed", r.now-deadline)
 		}
 	}
 }
 
-// forEachFleetSize runs a test for nodes of small and large fleets.
+// forEachFleetSize runs a test with several seeds for nodes of small and large fleets.
 func forEachFleetSize(t *testing.T, test func(t *testing.T, nodes int, seed uint64)) {
 	t.Helper()
 	for _, nodes := range []int{1, 5, 300, 900} {
@@ -41,9 +41,8 @@
 	}
 }
 
-// Guards the drain rule (no request goes to a server that the node is expected to know to be out of service) after
-// a restart: the node may already be expected to know what changed while it was down, so nothing is sent by the
-// cached list until discovery has reported what changed.
+// Guards against requests to servers out of service after a restart: the node may already have to know what changed
+// while it was down, so nothing is sent by the cached list until discovery has reported what changed.
 func TestNothingIsSentByAListThatIsNotConfirmed(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, nodes int, seed uint64) {
 		r := newOnRequestRunner(t, nodes, seed, true)
@@ -54,7 +53,7 @@
 		r.awaitNextCall(r.now + 7*time.Second)
 		r.deliverList(ListChanges, Entry{Server: 2, State: StateGone}, Entry{Server: 3, State: StateGone})
 		if r.host.readyCount != 1 {
-			t.Fatalf("%d nodes: node reported ready %d times after the list was confirmed, want once", nodes, r.host.readyCount)
+			t.Fatalf("%d nodes: the node reported ready %d times after the list was confirmed, want once", nodes, r.host.readyCount)
 		}
 		// The server that is left depends on the change alone.
 		if id := r.sendRequest(0); len(r.serversSentTo(id)) != 1 || r.serversSentTo(id)[0] != 1 {
@@ -75,11 +74,11 @@
 				r.deliverList(ListFailed)
 			}
 			if r.now-start > 9*time.Second {
-				t.Fatalf("%d nodes: node is not ready after %v", nodes, r.now-start)
+				t.Fatalf("%d nodes: the node is not ready after %v", nodes, r.now-start)
 			}
 		}
 		if r.now-start < 4*time.Second {
-			t.Fatalf("%d nodes: node is ready after %v, want at least 4 s as discovery may be slow", nodes, r.now-start)
+			t.Fatalf("%d nodes: the node is ready after %v, want at least 4 s as discovery may be slow", nodes, r.now-start)
 		}
 		for ; r.now < start+maxConfirmationWait-5*ms; r.advance(5 * ms) {
 			if r.host.callCount > calls {
@@ -95,18 +94,18 @@
 			t.Fatalf("%d nodes: the cached list does not serve a request after %v", nodes, r.now-start)
 		}
 		if r.host.callCount > calls {
-			r.deliverList(ListFailed) // a call that began at this very moment
+			r.deliverList(ListFailed) // ends a call that has just begun
 		}
 		r.awaitNextCall(r.now + maxCallPeriod)
 		r.deliverList(ListWhole, inServiceEntries(1, 1)...)
 		if r.host.readyCount != 1 {
-			t.Fatalf("%d nodes: node reported ready %d times, want once", nodes, r.host.readyCount)
+			t.Fatalf("%d nodes: the node reported ready %d times, want once", nodes, r.host.readyCount)
 		}
 	})
 }
 
-// Guards against requests sent by an unconfirmed list: a node is expected to know the list of its agent from
-// the start on, so a cached list never serves unconfirmed.
+// Guards against requests sent by an unconfirmed list: a node has to know the list of its agent from the
+// start on, so a cached list never serves unconfirmed.
 func TestPushedListServesOnlyOnceItIsConfirmed(t *testing.T) {
 	settings := testSettings()
 	settings.ConfirmCachedList, settings.LongPolling = true, true
@@ -118,7 +117,7 @@
 	r := &runner{t: t, b: b, host: h, now: time.Hour}
 	r.deliverList(ListCached, inServiceEntries(1, 3)...)
 	if r.advance(2 * time.Minute); h.readyCount != 1 {
-		t.Fatalf("node reported ready %d times while the agent is silent, want once", h.readyCount)
+		t.Fatalf("the node reported ready %d times while the agent is silent, want once", h.readyCount)
 	}
 	if id := r.sendRequest(0); len(r.serversSentTo(id)) > 0 {
 		t.Fatal("a request is sent by an unconfirmed list")
@@ -137,8 +136,8 @@
 	}
 }
 
-// Guards the drain rule after several failures in a row: the node is expected to know a change maxListAge after
-// its last answer, whenever its watch broke and however often calls have failed since.
+// Guards against requests to servers out of service after several failures in a row: the node has to know a change
+// maxListAge after its last answer, whenever its watch broke and however often calls have failed since.
 func TestCallsThatFailInARowAreMadeBeforeTheListIsDue(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, nodes int, seed uint64) {
 		for _, broken := range []struct {
@@ -148,13 +147,13 @@
 			r := newOnRequestRunner(t, nodes, seed, true)
 			r.awaitNextCall(r.now + 7*time.Second)
 			r.deliverList(ListChanges)
-			due := r.now + maxListAge
+			listDeadline := r.now + maxListAge
 			r.advance(broken.after)
 			r.deliverList(broken.kind)
 			for failures := range 2 {
-				r.awaitNextCall(due - 250*ms) // leaves time for the answer
-				if failures == 0 && r.now > due-900*ms {
-					t.Fatalf("%d nodes: the first call after the watch ended comes only %v before the list deadline", nodes, due-r.now)
+				r.awaitNextCall(listDeadline - 250*ms) // leaves time for the answer
+				if failures == 0 && r.now > listDeadline-900*ms {
+					t.Fatalf("%d nodes: the first call after the watch ended comes only %v before the list deadline", nodes, listDeadline-r.now)
 				}
 				r.advance(20 * ms)
 				r.deliverList(ListFailed)
@@ -163,18 +162,18 @@
 	})
 }
 
-// Guards the drain rule after a reload: the node is expected to know the list of the new address within
-// maxAddressChangeDelay.
+// Guards against requests to servers out of service after a reload: the node has to know the list of the new address
+// within maxAddressChangeDelay.
 func TestCallsToAnotherAddressAreMadeBeforeItsListIsDue(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, nodes int, seed uint64) {
 		r := newOnRequestRunner(t, nodes, seed, true)
 		r.awaitNextCall(r.now + 7*time.Second)
 		r.deliverList(ListChanges)
 		r.advance(time.Second)
-		due := r.now + maxAddressChangeDelay
+		listDeadline := r.now + maxAddressChangeDelay
 		r.deliverList(ListAddressChanged)
 		for range 3 {
-			r.awaitNextCall(due - 500*ms)
+			r.awaitNextCall(listDeadline - 500*ms)
 			r.advance(20 * ms)
 			r.deliverList(ListFailed)
 		}
@@ -218,7 +217,7 @@
 func TestArrivingAnswerIsNotLate(t *testing.T) {
 	for _, nodes := range []int{1, 300} {
 		r := newPollingRunner(t, false, nodes, 1)
-		calls, id := r.host.callCount, r.latestCall()
+		calls, id := r.host.callCount, r.latestCallID()
 		const rate = 2 * minArrivalBytesPerSecond
 		for bytes := int64(0); bytes < 30*rate; bytes += rate / 10 {
 			r.advance(100 * ms)
@@ -236,7 +235,7 @@
 // Guards against waiting for an answer that arrives too slowly: it is late like any other.
 func TestAnswerThatTricklesIsLate(t *testing.T) {
 	r := newPollingRunner(t, false, 1, 1)
-	calls, id := r.host.callCount, r.latestCall()
+	calls, id := r.host.callCount, r.latestCallID()
 	for i := range int64(40) {
 		r.advance(100 * ms)
 		r.b.CallProgress(r.now, id, 400*i)
--- a/policy/clock_test.go
+++ b/policy/clock_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Guards slow start and breakers against a wall clock that was stepped after this node read its own. A start
-// that seems to lie ahead left its server cold until then, and no failure opened its breaker; a start that
-// seems long past made a cold server pass for a warm one.
+// Guards slow start and breakers against a wall clock that was stepped after this node read its own. A server whose
+// start seems to be in the future must not stay cold until then, with a breaker that no failure opens. A server whose
+// start seems to be long past must not count as warm while it is cold.
 func TestStartIsDatedByThisNodesClock(t *testing.T) {
 	for name, step := range map[string]time.Duration{
 		"no step": 0, "a second ahead": time.Second, "an hour ahead": time.Hour, "an hour back": -time.Hour,
@@ -40,7 +40,7 @@
 	}
 }
 
-// Guards against a new start time for a process that a list names again.
+// Guards against a new start time for a server process that a list names again.
 func TestProcessIsDatedOnce(t *testing.T) {
 	settings := testSettings()
 	r := newRunner(t, settings, 2)
@@ -52,16 +52,17 @@
 	r.deliverList(ListChanges, again)
 	r.deliverList(ListWhole, again, inServiceEntries(2, 2)[0])
 	if got := r.b.servers[1].processStart; got != first {
-		t.Errorf("process start is %v, and %v later %v", first, r.now-first, got)
+		t.Errorf("process start is %v at first, and %v later it is %v", first, r.now-first, got)
 	}
 	again.StartedAt += time.Second
 	r.deliverList(ListChanges, again)
 	if got := r.b.servers[1].processStart; got != r.now {
-		t.Errorf("process start of a further start is %v, want %v", got, r.now)
+		t.Errorf("process start after another restart is %v, want %v", got, r.now)
 	}
 }
 
-// Guards against ignoring outcomes of attempts at the current process because of the wall clock of its start.
+// Guards against ignoring outcomes of attempts at the current process because its start time by the wall clock is in
+// the future.
 func TestOutcomesCountAfterAStepOfTheWallClock(t *testing.T) {
 	r := newRunner(t, testSettings(), 1)
 	r.deliverList(ListWhole, Entry{Server: 1, State: StateInService, StartedAt: r.now + time.Hour, Weight: 1})
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -8,8 +8,9 @@
 )
 
 // simulateColdServers simulates a fleet of nodes on one clock while some servers restart and are cold. The load is a
-// multiple of the capacity of the warm servers, split over the nodes. All answers take the same time, so that only
-// the cold budget limits what is sent to cold servers. It returns the most that one cold server was sent over its
+// multiple of the capacity of the warm servers, split over the nodes; with unevenLoad, every fourth node has three times
+// the load of the others. All answers take the same time, so that only the cold budget limits what is sent to cold
+// servers. It returns the most that one cold server was sent over its
 // budget, as a multiple of the tolerance for chance, and all sends to cold servers as a share of their budgets.
 func simulateColdServers(
 	t *testing.T, nodes, servers, cold int, load float64, duration time.Duration, unevenLoad bool, seed uint64,
@@ -96,9 +97,9 @@
 	return worstExcess, float64(sent) / budgetSum
 }
 
-// Guards against cold servers that are overloaded by the sum of what all nodes send, in fleets of any size. A node that
-// may send a cold server several requests within OverloadDuration gets by with its part of the budget. One of
-// hundreds of nodes, which most of the time may send none, would leave most of its part unused.
+// Guards against cold servers that are overloaded by the sum of what all nodes send, in fleets of any size. A node whose
+// part of the budget allows several requests within OverloadDuration keeps to that part. One of hundreds of nodes, whose
+// part allows none most of the time, would leave most of it unused.
 func TestColdServersAreNotOverloadedByAllNodesTogether(t *testing.T) {
 	for _, c := range []struct {
 		nodes, servers, cold int
@@ -113,7 +114,8 @@
 			worstExcess, usedShare := simulateColdServers(t, c.nodes, c.servers, c.cold, 1.5, c.duration, c.unevenLoad, seed+1)
 			if worstExcess > 1 || usedShare < 0.1 {
 				t.Errorf("%d nodes, %d of %d servers cold, seed %d: one was sent %.2f times the tolerance for chance "+
-					"over its budget, want 1 or less; all of them were sent %.2f of their budgets, want 0.1 or more", c.nodes, c.cold, c.servers, seed+1, worstExcess, usedShare)
+					"over its budget, want 1 or less; all of them were sent %.2f of their budgets, want 0.1 or more",
+					c.nodes, c.cold, c.servers, seed+1, worstExcess, usedShare)
 			}
 		}
 	}
--- a/policy/concurrency_test.go
+++ b/policy/concurrency_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// Guards against a limit that grows before the unloaded latencies are known that congestion is detected by.
+// Guards against a limit that grows before the unloaded latencies are known, by which congestion is detected.
 func TestLimitWaitsForUnloadedLatencies(t *testing.T) {
 	r, b := newLimitRunner(t)
 	b.unloadedSamples = minUnloadedSamples - 1
@@ -50,8 +50,8 @@
 	}
 }
 
-// Guards against a limit that stays too high for servers whose throughput falls with the requests that they hold, and
-// against one that falls so low in a fleet that is slow as a whole that its servers idle.
+// Guards against a limit that stays too high for servers whose throughput falls as they have more requests in flight,
+// and against one that falls so low, in a fleet that is slow as a whole, that servers are idle.
 func TestLimitShrinksUnderCongestionButNotFarBelowTheKnownGood(t *testing.T) {
 	r, b := newLimitRunner(t)
 	b.sawCongestion, b.concurrencyLimit, b.knownGoodLimit = true, 8, 4
@@ -65,7 +65,7 @@
 	}
 }
 
-// Guards against a limit that has overshot in its fast growth at the start, which latencies show with a delay.
+// Guards against a limit that stays too high after its fast growth at the start, as latencies rise with a delay.
 func TestFirstCongestionCutsTheLimitAtOnce(t *testing.T) {
 	r, b := newLimitRunner(t)
 	b.concurrencyLimit = 10
@@ -125,7 +125,7 @@
 }
 
 // Guards against a node that stops sending because its attempts at servers with open breakers use up the limit.
-func TestAttemptsAtOpenServersDoNotUseUpTheLimit(t *testing.T) {
+func TestAttemptsAtServersWithOpenBreakersDoNotUseUpTheLimit(t *testing.T) {
 	r := newRunner(t, testSettings(), 4)
 	for range 4 {
 		r.sendRequest(0)
@@ -166,7 +166,7 @@
 		s := r.serversSentTo(r.lastID)[0]
 		r.advance(10 * ms)
 		r.endAttempt(r.lastID, OK, 10*ms)
-		r.advance(10 * ms) // scores are updated once per time of the clock
+		r.advance(10 * ms) // scores are updated at most once at each time
 		return s
 	}
 	first := sendRequest()
--- a/policy/discovery_faults_test.go
+++ b/policy/discovery_faults_test.go
@@ -20,14 +20,14 @@
 	noAnswerShare   float64       // share of calls that it never answers
 	unusableShare   float64       // share of calls whose answer is unusable
 	from            time.Duration // start of the fault, counted from the first answer
-	to              time.Duration // end of the fault; 0: it does not end
-	noChangesBefore time.Duration // no change is made before
+	to              time.Duration // end of the fault, counted from the first answer; 0: it does not end
+	noChangesBefore time.Duration // time without changes, counted from the first answer
 
-	lateRefuseAfter time.Duration
+	lateRefuseAfter time.Duration // time after which a call is refused late; 0: 2 s
 }
 
 // modelChange is a change that discovery has, with the time by which the node has to know it.
-type modelChange struct{ madeAt, deadline time.Duration }
+type discoveryChange struct{ madeAt, deadline time.Duration }
 
 // discoveryRun runs a node against a model of discovery.
 type discoveryRun struct {
@@ -36,31 +36,31 @@
 	pushed        bool
 	rng           *rand.Rand
 	firstAnswerAt time.Duration // time of the first answer
-	changes       []modelChange
-	callsSeen     int // calls of the host that were taken so far
-	inFlight      map[CallID]*modelCall
-	knownChanges  int // number of changes that the node knows
-	mostInFlight  int
-	callTimes     []time.Duration // time of each call
+	changes       []discoveryChange
+	callsSeen     int // number of the node's calls that were passed to discovery
+	inFlight      map[CallID]*discoveryCall
+	knownChanges  int             // number of changes that the node knows
+	mostInFlight  int             // largest number of calls that were in flight at once
+	callTimes     []time.Duration // start of each call
 
 	faultCycle      []discoveryFault // if set, calls meet these faults in turn, in place of fault
-	faultCycleSince time.Duration    // start of the faults in turn
+	faultCycleSince time.Duration    // start of faultCycle
 }
 
 // modelCall is a call of the node that is in flight.
-type modelCall struct {
+type discoveryCall struct {
 	sinceVersion  int
-	arrivesAt     time.Duration // time at discovery
+	arrivesAt     time.Duration // time at which it reaches discovery
 	waitsUntil    time.Duration // discovery waits for changes until then
 	answerTransit time.Duration // time that the answer takes to reach the node
 	result        CallResult
 	neverAnswered bool
-	endsAt        time.Duration // time at the node; 0: discovery still waits for changes
+	endsAt        time.Duration // time at which its end reaches the node; 0: discovery still waits for changes
 	version       int           // version that the answer brings
 	missesChanges bool          // the answer brings the version that the call named
 }
 
-// newDiscoveryRun returns a run whose node has just started with a cached list.
+// newDiscoveryRun returns a run of a node that has just started with a cached list.
 func newDiscoveryRun(t *testing.T, pushed bool, nodes int, seed uint64, fault discoveryFault) *discoveryRun {
 	t.Helper()
 	settings := testSettings()
@@ -71,36 +71,36 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &discoveryRun{
+	run := &discoveryRun{
 		runner: &runner{t: t, b: b, host: h, now: time.Hour}, fault: fault, pushed: pushed,
-		rng: rand.New(rand.NewPCG(seed, 9)), inFlight: map[CallID]*modelCall{},
+		rng: rand.New(rand.NewPCG(seed, 9)), inFlight: map[CallID]*discoveryCall{},
 	}
-	m.deliverList(ListCached, inServiceEntries(1, 3)...)
-	return m
+	run.deliverList(ListCached, inServiceEntries(1, 3)...)
+	return run
 }
 
 // isFaultActive reports whether the fault is active at a time.
-func (m *discoveryRun) isFaultActive(at time.Duration) bool {
-	since := at - m.firstAnswerAt
-	return m.firstAnswerAt > 0 && since >= m.fault.from && (m.fault.to == 0 || since < m.fault.to)
+func (run *discoveryRun) isFaultActive(at time.Duration) bool {
+	since := at - run.firstAnswerAt
+	return run.firstAnswerAt > 0 && since >= run.fault.from && (run.fault.to == 0 || since < run.fault.to)
 }
 
-// beginCall has discovery take a call.
-func (m *discoveryRun) beginCall(call Call) {
-	m.callTimes = append(m.callTimes, m.now)
-	c := &modelCall{sinceVersion: m.knownChanges, arrivesAt: m.now + 2*ms, answerTransit: 3 * ms}
-	fault, inTurn := m.faultOfCall()
+// beginCall passes a call to discovery, which draws the fault that the call meets.
+func (run *discoveryRun) beginCall(call Call) {
+	run.callTimes = append(run.callTimes, run.now)
+	c := &discoveryCall{sinceVersion: run.knownChanges, arrivesAt: run.now + 2*ms, answerTransit: 3 * ms}
+	fault, inTurn := run.faultOfCall()
 	if !inTurn {
-		fault = m.fault
+		fault = run.fault
 	}
-	if inTurn || m.isFaultActive(m.now) {
-		drawn := m.rng.Float64()
+	if inTurn || run.isFaultActive(run.now) {
+		drawn := run.rng.Float64()
 		c.arrivesAt, c.answerTransit = c.arrivesAt+fault.callDelay, c.answerTransit+fault.answerDelay
 		switch {
 		case drawn < fault.refuseShare:
-			c.result, c.endsAt = CallRefused, m.now+5*ms
+			c.result, c.endsAt = CallRefused, run.now+5*ms
 		case drawn < fault.refuseShare+fault.lateRefuseShare:
-			c.result, c.endsAt = CallRefused, m.now+cmp.Or(fault.lateRefuseAfter, 2*time.Second)
+			c.result, c.endsAt = CallRefused, run.now+cmp.Or(fault.lateRefuseAfter, 2*time.Second)
 		case drawn < fault.refuseShare+fault.lateRefuseShare+fault.noAnswerShare:
 			c.neverAnswered = true
 		case drawn < fault.refuseShare+fault.lateRefuseShare+fault.noAnswerShare+fault.unusableShare:
@@ -108,89 +108,89 @@
 		}
 	}
 	c.waitsUntil = c.arrivesAt + max(call.WaitForChanges, ms)
-	m.inFlight[call.ID] = c
-	m.mostInFlight = max(m.mostInFlight, len(m.inFlight))
+	run.inFlight[call.ID] = c
+	run.mostInFlight = max(run.mostInFlight, len(run.inFlight))
 }
 
-// advanceStep advances the time by a step and delivers the answers that are due.
-func (m *discoveryRun) advanceStep(d time.Duration) {
-	m.advance(d)
-	for _, id := range m.host.endedCalls {
-		delete(m.inFlight, id)
+// advanceStep advances the time by d, passes new calls to discovery and delivers the answers that are due.
+func (run *discoveryRun) advanceStep(d time.Duration) {
+	run.advance(d)
+	for _, id := range run.host.cancelledCalls {
+		delete(run.inFlight, id)
 	}
-	m.host.endedCalls = m.host.endedCalls[:0]
-	for ; m.callsSeen < len(m.host.calls); m.callsSeen++ {
-		m.beginCall(m.host.calls[m.callsSeen])
+	run.host.cancelledCalls = run.host.cancelledCalls[:0]
+	for ; run.callsSeen < len(run.host.calls); run.callsSeen++ {
+		run.beginCall(run.host.calls[run.callsSeen])
 	}
-	for _, call := range slices.Sorted(maps.Keys(m.inFlight)) { // in order, so that a seed always gives the same run
-		c := m.inFlight[call]
+	for _, call := range slices.Sorted(maps.Keys(run.inFlight)) { // in order, so that a seed always gives the same run
+		c := run.inFlight[call]
 		if c.neverAnswered {
 			continue
 		}
-		hasChanges := len(m.changes) > c.sinceVersion && !c.missesChanges
-		if c.endsAt == 0 && m.now >= c.arrivesAt && (hasChanges || m.now >= c.waitsUntil) {
-			c.endsAt, c.version = m.now+c.answerTransit, len(m.changes)
+		hasChanges := len(run.changes) > c.sinceVersion && !c.missesChanges
+		if c.endsAt == 0 && run.now >= c.arrivesAt && (hasChanges || run.now >= c.waitsUntil) {
+			c.endsAt, c.version = run.now+c.answerTransit, len(run.changes)
 			if c.missesChanges {
 				c.version = c.sinceVersion
 			}
 		}
-		if c.endsAt > 0 && m.now >= c.endsAt {
-			delete(m.inFlight, call)
-			m.endCall(call, c)
+		if c.endsAt > 0 && run.now >= c.endsAt {
+			delete(run.inFlight, call)
+			run.endCall(call, c)
 		}
 	}
 }
 
 // endCall delivers the end of a call.
-func (m *discoveryRun) endCall(id CallID, c *modelCall) {
+func (run *discoveryRun) endCall(id CallID, c *discoveryCall) {
 	changed := c.result == CallAnswered && c.version > c.sinceVersion
 	if c.result == CallAnswered {
-		m.knownChanges = max(m.knownChanges, c.version)
-		m.deliverList(ListChanges)
-		if m.firstAnswerAt == 0 {
-			m.firstAnswerAt = m.now
+		run.knownChanges = max(run.knownChanges, c.version)
+		run.deliverList(ListChanges)
+		if run.firstAnswerAt == 0 {
+			run.firstAnswerAt = run.now
 		}
 	}
-	m.b.CallEnded(m.now, CallEnd{ID: id, Result: c.result, Changed: changed, UnusableBytes: 2000})
+	run.b.CallEnded(run.now, CallEnd{ID: id, Result: c.result, Changed: changed, UnusableBytes: 2000})
 }
 
 // makeChange makes a change and notes by when the node has to know it.
-func (m *discoveryRun) makeChange() {
-	deadline := m.now
-	if !m.pushed {
+func (run *discoveryRun) makeChange() {
+	deadline := run.now
+	if !run.pushed {
 		deadline += maxListAge
 	}
-	if end := m.firstAnswerAt + m.fault.to; m.isFaultActive(m.now) && m.fault.to > 0 {
-		deadline += end - m.now
+	if end := run.firstAnswerAt + run.fault.to; run.isFaultActive(run.now) && run.fault.to > 0 {
+		deadline += end - run.now
 	}
-	m.changes = append(m.changes, modelChange{m.now, deadline})
+	run.changes = append(run.changes, discoveryChange{run.now, deadline})
 }
 
-// playRandomChanges makes changes at random times for the given time. It returns how long after its deadline
-// the latest change was known, and how many were late.
-func (m *discoveryRun) playRandomChanges(duration time.Duration) (latest time.Duration, late int) {
+// playRandomChanges makes changes at random times for the given time. It returns the longest time after its deadline
+// at which a change was known, and the number of changes that were late.
+func (run *discoveryRun) playRandomChanges(duration time.Duration) (worst time.Duration, late int) {
 	const step = 5 * ms
-	for m.firstAnswerAt == 0 {
-		m.advanceStep(step)
-	}
-	next, checked := m.firstAnswerAt+m.fault.noChangesBefore+time.Duration(m.rng.Int64N(int64(4*time.Second))), 0
-	for m.now < m.firstAnswerAt+duration || checked < len(m.changes) {
-		if m.now >= next && m.now < m.firstAnswerAt+duration {
-			m.makeChange()
-			next += time.Second + time.Duration(m.rng.Int64N(int64(7*time.Second)))
+	for run.firstAnswerAt == 0 {
+		run.advanceStep(step)
+	}
+	next, checked := run.firstAnswerAt+run.fault.noChangesBefore+time.Duration(run.rng.Int64N(int64(4*time.Second))), 0
+	for run.now < run.firstAnswerAt+duration || checked < len(run.changes) {
+		if run.now >= next && run.now < run.firstAnswerAt+duration {
+			run.makeChange()
+			next += time.Second + time.Duration(run.rng.Int64N(int64(7*time.Second)))
 		}
-		m.advanceStep(step)
-		for ; checked < m.knownChanges; checked++ {
-			lateness := m.now - m.changes[checked].deadline
-			if latest = max(latest, lateness); lateness > maxLateness {
+		run.advanceStep(step)
+		for ; checked < run.knownChanges; checked++ {
+			lateness := run.now - run.changes[checked].deadline
+			if worst = max(worst, lateness); lateness > maxLateness {
 				late++
 			}
 		}
-		if m.now > m.firstAnswerAt+duration+2*time.Minute {
-			m.t.Fatalf("a change is not known %v after its deadline", m.now-m.changes[checked].deadline)
+		if run.now > run.firstAnswerAt+duration+2*time.Minute {
+			run.t.Fatalf("a change is not known %v after its deadline", run.now-run.changes[checked].deadline)
 		}
 	}
-	return latest, late
+	return worst, late
 }
 
 // toleratedFaults are faults of discovery under which a node knows changes in time in fleets up to a size.
@@ -210,8 +210,10 @@
 	{discoveryFault{name: "answers late by 3 s", answerDelay: 3 * time.Second}, 30},
 	{discoveryFault{name: "answers late by 4 s", answerDelay: 4 * time.Second, noChangesBefore: 12 * time.Second}, 30},
 	{discoveryFault{name: "answers late by 5 s", answerDelay: 5 * time.Second, noChangesBefore: 12 * time.Second}, 30},
-	{discoveryFault{name: "answers late by 4 s all at once", answerDelay: 4 * time.Second, from: 10 * time.Second, noChangesBefore: 10 * time.Second}, 8},
-	{discoveryFault{name: "answers late by 5 s all at once", answerDelay: 5 * time.Second, from: 10 * time.Second, noChangesBefore: 10 * time.Second}, 8},
+	{discoveryFault{name: "answers late by 4 s from 10 s on", answerDelay: 4 * time.Second,
+		from: 10 * time.Second, noChangesBefore: 10 * time.Second}, 8},
+	{discoveryFault{name: "answers late by 5 s from 10 s on", answerDelay: 5 * time.Second,
+		from: 10 * time.Second, noChangesBefore: 10 * time.Second}, 8},
 	{discoveryFault{name: "refuses for 2 s", refuseShare: 1, from: 5 * time.Second, to: 7 * time.Second}, 0},
 	{discoveryFault{name: "refuses for 75 s", refuseShare: 1, from: 5 * time.Second, to: 80 * time.Second}, 0},
 	{discoveryFault{name: "refuses after 2 s for 45 s", lateRefuseShare: 1, from: 5 * time.Second, to: 50 * time.Second}, 0},
@@ -221,26 +223,28 @@
 }
 
 const (
-	maxLateness = 300 * ms // time by which a change may be late
-	modelSeeds  = 4
+	// maxLateness is the time after its deadline within which a change still counts as known in time.
+	maxLateness = 300 * ms
+	// seedsPerFault is the number of seeds that each fault is run with.
+	seedsPerFault = 4
 )
 
 // requireChangesKnownInTime runs some seeds of a fault and checks that each change is known in time.
 func requireChangesKnownInTime(t *testing.T, pushed bool, nodes int, fault discoveryFault) {
 	t.Helper()
-	for seed := range uint64(modelSeeds) {
-		m := newDiscoveryRun(t, pushed, nodes, seed, fault)
-		if late, _ := m.playRandomChanges(max(40*time.Second, fault.to+20*time.Second)); late > maxLateness {
-			t.Errorf("%s, pushed %t, %d nodes, seed %d: the node knows a change %v after its deadline", fault.name, pushed, nodes, seed, late)
+	for seed := range uint64(seedsPerFault) {
+		run := newDiscoveryRun(t, pushed, nodes, seed, fault)
+		if worst, _ := run.playRandomChanges(max(40*time.Second, fault.to+20*time.Second)); worst > maxLateness {
+			t.Errorf("%s, pushed %t, %d nodes, seed %d: the node knows a change %v after its deadline", fault.name, pushed, nodes, seed, worst)
 		}
-		if m.mostInFlight > maxCallsInFlight {
-			t.Errorf("%s, %d nodes: %d calls are in flight at once", fault.name, nodes, m.mostInFlight)
+		if run.mostInFlight > maxCallsInFlight {
+			t.Errorf("%s, %d nodes: %d calls are in flight at once", fault.name, nodes, run.mostInFlight)
 		}
 	}
 }
 
-// Guards the drain rule under faults of discovery: changes are known in the time that the rules allow, however
-// late answers come, whatever share of calls fails and however long an outage was.
+// Guards against requests to servers out of service under faults of discovery: the node knows changes by the time at
+// which it has to, however late answers come, whatever share of calls fails and however long an outage was.
 func TestChangesAreKnownInTimeUnderFaultsOfDiscovery(t *testing.T) {
 	for _, fault := range toleratedFaults {
 		for _, nodes := range []int{1, 8, 30, 300} {
@@ -251,8 +255,8 @@
 	}
 }
 
-// Guards the drain rule where calls fail at random. Some changes are late then, as a fleet must not call so
-// often that none is: these are few, and never late for long.
+// Guards against requests to servers out of service where calls fail at random. Some changes are known late then, as
+// a fleet must not call so often that none is: these are few, and never late for long.
 func TestChangesAreKnownUnderRandomFaults(t *testing.T) {
 	for _, fault := range []discoveryFault{
 		{name: "refuses one of five", refuseShare: 0.2},
@@ -265,43 +269,46 @@
 		{name: "late by 1 s, and refuses one of five", callDelay: time.Second, refuseShare: 0.2},
 	} {
 		const seeds, share = 30, 0.03
-		changes, late, latest := 0, 0, time.Duration(0)
+		changes, late, worst := 0, 0, time.Duration(0)
 		for seed := range uint64(seeds) {
-			m := newDiscoveryRun(t, false, 8, seed, fault)
-			lateness, count := m.playRandomChanges(40 * time.Second)
-			changes, late, latest = changes+len(m.changes), late+count, max(latest, lateness)
+			run := newDiscoveryRun(t, false, 8, seed, fault)
+			lateness, lateCount := run.playRandomChanges(40 * time.Second)
+			changes, late, worst = changes+len(run.changes), late+lateCount, max(worst, lateness)
 		}
-		t.Logf("%s: %d of %d changes are late, by %v at most", fault.name, late, changes, latest)
-		if float64(late) > share*float64(changes) || latest > 3*maxListAge {
-			t.Errorf("%s: %d of %d changes are late, by %v at most", fault.name, late, changes, latest)
+		t.Logf("%s: %d of %d changes are late, by %v at most", fault.name, late, changes, worst)
+		if float64(late) > share*float64(changes) || worst > 3*maxListAge {
+			t.Errorf("%s: %d of %d changes are late, by %v at most", fault.name, late, changes, worst)
 		}
 	}
 }
 
-// Guards the drain rule where nodes have agents: a node is expected to know at once what its agent has.
+// Guards against requests to servers out of service where nodes have agents: a node has to know at once what its agent
+// has.
 func TestChangesOfAnAgentAreKnownWithinTheDrainGrace(t *testing.T) {
-	for _, kind := range []discoveryFault{
+	for _, fault := range []discoveryFault{
 		{name: "refuses", refuseShare: 1}, {name: "refuses after 2 s", lateRefuseShare: 1}, {name: "never answers", noAnswerShare: 1},
 	} {
 		for _, duration := range []time.Duration{50 * ms, 300 * ms, 700 * ms, 2 * time.Second, 6 * time.Second, 75 * time.Second} {
-			kind.from, kind.to = 5*time.Second, 5*time.Second+duration
-			requireChangesKnownInTime(t, true, 8, kind)
+			fault.from, fault.to = 5*time.Second, 5*time.Second+duration
+			requireChangesKnownInTime(t, true, 8, fault)
 		}
 	}
 	requireChangesKnownInTime(t, true, 8, discoveryFault{name: "none"})
 }
 
-// Guards discovery against a large fleet whose calls leave it no time, also while no call is answered.
+// Guards against calls of a large fleet that take more time than discovery has, also while no call is answered.
 func TestCallsOfALargeFleetDoNotOverloadDiscovery(t *testing.T) {
-	for _, fault := range []discoveryFault{{name: "refuses", refuseShare: 1}, {name: "refuses after 2 s", lateRefuseShare: 1}, {name: "never answers", noAnswerShare: 1}, {name: "unusable answers", unusableShare: 1}} {
+	for _, fault := range []discoveryFault{
+		{name: "refuses", refuseShare: 1}, {name: "refuses after 2 s", lateRefuseShare: 1},
+		{name: "never answers", noAnswerShare: 1}, {name: "unusable answers", unusableShare: 1}} {
 		fault.from, fault.to = 5*time.Second, 65*time.Second
 		const nodes = 300
-		m := newDiscoveryRun(t, false, nodes, 1, fault)
-		m.playRandomChanges(fault.to)
+		run := newDiscoveryRun(t, false, nodes, 1, fault)
+		run.playRandomChanges(fault.to)
 		calls := 0
-		const settled = 10 * time.Second // time after which the first calls, which come sooner, are over
-		for _, at := range m.callTimes {
-			if m.isFaultActive(at) && m.isFaultActive(at-settled) {
+		const settled = 10 * time.Second // time after which the first calls of an outage, which come sooner, are over
+		for _, at := range run.callTimes {
+			if run.isFaultActive(at) && run.isFaultActive(at-settled) {
 				calls++
 			}
 		}
@@ -315,24 +322,25 @@
 	}
 }
 
-// newPollingRunner returns a node that uses long polling. Its list was confirmed just now.
+// newPollingRunner returns a runner for a node that uses long polling and whose list has just been confirmed.
 func newPollingRunner(t *testing.T, pushed bool, nodes int, seed uint64) *runner {
 	t.Helper()
-	m := newDiscoveryRun(t, pushed, nodes, seed, discoveryFault{})
-	for m.firstAnswerAt == 0 {
-		m.advanceStep(ms)
+	run := newDiscoveryRun(t, pushed, nodes, seed, discoveryFault{})
+	for run.firstAnswerAt == 0 {
+		run.advanceStep(ms)
 	}
-	return m.runner
+	return run.runner
 }
 
-// latestCall returns the id of the newest call.
-func (r *runner) latestCall() CallID { return r.host.calls[len(r.host.calls)-1].ID }
+// latestCallID returns the ID of the newest call.
+func (r *runner) latestCallID() CallID { return r.host.calls[len(r.host.calls)-1].ID }
 
-// failLatestCall ends the newest call with the given result, and returns the time until the next call begins.
+// failLatestCall ends the newest call with a result that is a failure, and returns the time until the next call begins.
+// For an unusable answer, bytes is its size.
 func (r *runner) failLatestCall(result CallResult, bytes int64) (pause time.Duration) {
 	r.t.Helper()
 	ended := r.now
-	r.b.CallEnded(r.now, CallEnd{ID: r.latestCall(), Result: result, UnusableBytes: bytes})
+	r.b.CallEnded(r.now, CallEnd{ID: r.latestCallID(), Result: result, UnusableBytes: bytes})
 	for calls := r.host.callCount; r.host.callCount == calls; r.advance(ms) {
 		if r.now-ended > time.Minute {
 			r.t.Fatal("no call begins within a minute")
@@ -341,17 +349,17 @@
 	return r.now - ended
 }
 
-// Guards against effects of old calls: the first answer counts. Calls that began before the answered one are
+// Guards against effects of old calls. The first answer counts: calls that began before the answered one are
 // cancelled, and their ends are ignored.
 func TestFirstAnswerEndsOlderCalls(t *testing.T) {
 	r := newPollingRunner(t, false, 8, 1)
-	first := r.latestCall()
+	first := r.latestCallID()
 	for range 3 {
 		r.awaitNextCall(r.now + maxCallPeriod)
 	}
 	r.b.CallEnded(r.now, CallEnd{ID: first + 2, Result: CallAnswered, Changed: true})
-	if want := fmt.Sprint([]CallID{first, first + 1}); fmt.Sprint(r.host.endedCalls) != want {
-		t.Fatalf("calls %v are cancelled, want %s", r.host.endedCalls, want)
+	if want := fmt.Sprint([]CallID{first, first + 1}); fmt.Sprint(r.host.cancelledCalls) != want {
+		t.Fatalf("calls %v are cancelled, want %s", r.host.cancelledCalls, want)
 	}
 	callsBefore := r.host.callCount
 	r.b.CallEnded(r.now, CallEnd{ID: first, Result: CallFailed})
@@ -367,11 +375,11 @@
 // Guards against missing a very late answer: however many calls are late, calls of all ages stay in flight.
 func TestCallsOfAllAgesStayInFlight(t *testing.T) {
 	r := newPollingRunner(t, false, 1, 1)
-	startTimes := map[CallID]time.Duration{r.latestCall(): r.now}
+	startTimes := map[CallID]time.Duration{r.latestCallID(): r.now}
 	for range 200 {
 		r.awaitNextCall(r.now + maxCallPeriod)
-		startTimes[r.latestCall()] = r.now
-		for _, id := range r.host.endedCalls {
+		startTimes[r.latestCallID()] = r.now
+		for _, id := range r.host.cancelledCalls {
 			delete(startTimes, id)
 		}
 	}
@@ -390,21 +398,22 @@
 	}
 }
 
-// Guards a discovery that does not wait for changes as long as it is asked to against calls without a pause.
+// Guards against calls without a pause to a discovery that does not wait for changes as long as it is asked to.
 func TestWatchThatEndsAtOnceIsNotMadeAtOnce(t *testing.T) {
 	r := newPollingRunner(t, false, 8, 1)
 	r.advance(10 * ms)
 	calls := r.host.callCount
-	r.b.CallEnded(r.now, CallEnd{ID: r.latestCall(), Result: CallAnswered})
+	r.b.CallEnded(r.now, CallEnd{ID: r.latestCallID(), Result: CallAnswered})
 	if r.advance(burstInterval / 2); r.host.callCount != calls {
-		t.Error("a watch that ended without changes is made again at once")
+		t.Error("a watch that ended without changes is repeated at once")
 	}
 	if r.advance(burstInterval); r.host.callCount != calls+1 {
-		t.Error("a watch that ended without changes is not made again")
+		t.Error("a watch that ended without changes is not repeated")
 	}
 }
 
-// Guards the drain rule at the return of an agent: the node is expected to know at once what its agent has.
+// Guards against requests to servers out of service when an agent is up again: the node has to know at once what its
+// agent has.
 func TestAgentThatIsDownIsCalledWithinTheDrainGrace(t *testing.T) {
 	r := newPollingRunner(t, true, 300, 1)
 	grace := r.b.settings.Rules.DrainGrace
@@ -415,7 +424,7 @@
 	}
 }
 
-// Guards the drain rule at the return of an agent of which some answers are unusable.
+// Guards against requests to servers out of service when an agent is up again after unusable answers and failed calls.
 func TestAgentThatIsDownIsCalledOftenAfterUnusableAnswers(t *testing.T) {
 	r := newPollingRunner(t, true, 300, 1)
 	for i := range 40 {
@@ -429,9 +438,10 @@
 	}
 }
 
-// Guards discovery and the node against an unusable list, as one that is too large. It costs both as much as a
-// good one, and was requested again at once (75 calls and 539 MB in 8 s, each request refused). The longer the
-// list is, the longer is the pause after it, up to what the rules leave time for.
+// Guards discovery and the node against frequent calls for an unusable list, such as one that is too large. It costs
+// both as much as a usable one: requesting it again at once led to 75 calls and 539 MB in 8 s, with each request
+// refused. The longer the list, the longer the pause after it, up to the longest one with which changes are known in
+// time.
 func TestUnusableListIsRequestedLessAndLessOften(t *testing.T) {
 	for _, pushed := range []bool{true, false} {
 		last := time.Duration(0)
@@ -440,7 +450,8 @@
 			r.failLatestCall(CallUnusable, bytes) // the watch
 			pause := r.failLatestCall(CallUnusable, bytes)
 			rate := float64(bytes) / pause.Seconds()
-			if pause < last || pause < minUnusablePause || pause > maxUnusablePause+ms || rate > 1.05*unusableBytesPerSecond && pause < maxUnusablePause {
+			if pause < last || pause < minUnusablePause || pause > maxUnusablePause+ms ||
+				rate > 1.05*unusableBytesPerSecond && pause < maxUnusablePause {
 				t.Errorf("pushed %t: pause of %v after %d bytes, and of %v after fewer bytes", pushed, pause, bytes, last)
 			}
 			last = pause
@@ -450,13 +461,13 @@
 		}
 	}
 	if longest := maxUnusablePause; longest+callReserve > maxListAge {
-		t.Errorf("calls %v apart bring changes too late", longest)
+		t.Errorf("with calls %v apart, changes are known too late", longest)
 	}
 }
 
-// Guards against adding the time that a call took to fail to the interval between calls, which counts from the
+// Guards against adding the time that a call takes to fail to the interval between calls, which counts from the
 // start of one call to the start of the next.
-func TestLongCallsCountTowardsTheDelay(t *testing.T) {
+func TestCallDurationCountsTowardsTheInterval(t *testing.T) {
 	for seed := range uint64(20) {
 		for _, took := range []time.Duration{0, 100 * ms, 300 * ms} {
 			r := newPollingRunner(t, false, 300, seed)
@@ -474,7 +485,7 @@
 	}
 }
 
-// Guards against retries at the same moment, and against delays that do not grow as they are doubled.
+// Guards against jitter so small that nodes retry at the same time, and so large that doubled delays do not grow.
 func TestJitterStaysInItsRange(t *testing.T) {
 	r := newRunner(t, testSettings(), 1)
 	shortest, longest := time.Hour, time.Duration(0)
@@ -487,8 +498,8 @@
 	}
 }
 
-// Guards discovery against frequent calls after short unusable answers, as changes in place of the whole list.
-// They are requested again soon at first, as the fault may be random, and then less and less often down to the
+// Guards discovery against frequent calls after short unusable answers, such as changes in place of the whole list.
+// They are requested again soon at first, as the fault may be random, and then less and less often, up to the
 // longest interval between two calls.
 func TestShortUnusableAnswersAreRequestedLessAndLessOften(t *testing.T) {
 	r := newPollingRunner(t, false, 8, 1)
@@ -502,8 +513,8 @@
 	}
 }
 
-// Guards discovery against frequent calls for a list with more servers than the limit. It has some megabytes,
-// and is requested as seldom as the rules allow.
+// Guards discovery against frequent calls for a list with more servers than the limit. It has some megabytes, and is
+// requested as rarely as the max list age allows.
 func TestOversizedListIsRequestedLessAndLessOften(t *testing.T) {
 	for _, pushed := range []bool{true, false} {
 		r := newPollingRunner(t, pushed, 8, 1)
--- a/policy/discovery_recovery_test.go
+++ b/policy/discovery_recovery_test.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// queueingDiscovery is a model of discovery that works through calls in turn. It refuses calls that would wait
+// queueingDiscovery is a model of discovery that works on one call after the other. It refuses calls that would wait
 // for too long, at once and at no cost. While it is down, calls fail after some time.
 type queueingDiscovery struct {
 	callDuration        time.Duration // time that it works on a call
 	maxWait             time.Duration // longest time that a call may wait
-	failAfter           time.Duration // time after which a call fails that comes while it is down
+	failAfter           time.Duration // time after which a call that comes while it is down fails
 	downFrom, downUntil time.Duration // it is down between these times
-	freeAt              time.Duration // time at which it has worked through all calls so far
+	freeAt              time.Duration // time at which the work on all calls so far is done
 }
 
 // refusalDelay is how long a refusal takes to reach its node.
 const refusalDelay = 10 * ms
 
-// receive takes a call. It returns when the call ends at its node, and whether it is answered.
+// receive takes a call and returns when it ends for its node, and whether it is answered.
 func (d *queueingDiscovery) receive(now time.Duration) (endsAt time.Duration, answered bool) {
 	if now >= d.downFrom && now < d.downUntil {
 		return now + d.failAfter, false
@@ -36,14 +36,14 @@
 // recoveringNode is a node of a fleet that calls a queueingDiscovery.
 type recoveringNode struct {
 	*runner
-	callsSeen int           // calls of the host that were taken so far
+	callsSeen int           // number of the node's calls that were passed to discovery
 	endsAt    time.Duration // end of the call in flight; 0: there is none
 	callID    CallID
 	answered  bool // the call in flight will be answered
-	recovered bool // the node has had an answer since discovery is up again
+	recovered bool // the node has had an answer since the outage
 }
 
-// advanceTo advances the time and has discovery take the calls that began.
+// advanceTo advances the time, ends the call in flight if it is due and passes new calls to discovery.
 func (r *recoveringNode) advanceTo(now time.Duration, d *queueingDiscovery) {
 	r.advance(now - r.now)
 	if r.endsAt > 0 && now >= r.endsAt {
@@ -70,9 +70,9 @@
 	}
 }
 
-// Guards the drain rule after an outage: all nodes of a fleet call in vain together, and together again once
-// discovery is back, which refuses some of them at once. Each of them has to get an answer within maxListAge
-// all the same.
+// Guards against requests to servers out of service after an outage. All nodes of a fleet call at the same time during
+// the outage, and again at the same time after it, when discovery refuses some of the calls at once. Each node has to
+// get an answer within maxListAge nevertheless.
 func TestFleetIsAnsweredByABusyDiscoveryInTimeAfterAnOutage(t *testing.T) {
 	for _, c := range []struct {
 		nodes        int
@@ -91,7 +91,7 @@
 			}
 		}
 		if late > 0 {
-			t.Errorf("%d nodes, %v a call, which waits for %v at most: in %d of %d outages a node has its answer later than %v, the last one %v after the outage",
+			t.Errorf("%d nodes, %v a call, waiting for %v at most: in %d of %d outages a node has its answer later than %v, the last %v after it",
 				c.nodes, c.callDuration, c.maxWait, late, c.seeds, maxListAge, longest)
 		}
 	}
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -27,8 +27,7 @@
 func (h *printingHost) StartCall(policy.Call)                     { fmt.Println("call discovery") }
 func (h *printingHost) CancelCall(policy.CallID)                  {}
 
-// One request is served, one is retried at another server and served, and one is
-// refused because no server is left.
+// One request is served, one is retried at another server and served, and one is refused because no server is left.
 func Example() {
 	settings := policy.Defaults()
 	settings.Classes = []policy.Class{{
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -8,9 +8,9 @@
 // sequentialDiscovery is a model of discovery as one service for all nodes. It works on one call after the other, also
 // on those that have timed out meanwhile.
 type sequentialDiscovery struct {
-	callDuration time.Duration // work on each call
-	maxWait      time.Duration // time after which a call fails that is not answered
-	freeAt       time.Duration // time when the work on all calls so far is done
+	callDuration time.Duration // time that it works on each call
+	maxWait      time.Duration // time after which a call without an answer fails
+	freeAt       time.Duration // time at which the work on all calls so far is done
 }
 
 // receive takes a call and returns when it ends for its node, and whether it is answered.
@@ -85,8 +85,8 @@
 // fleetSeeds are the seeds of the first node of a fleet; each test runs its fleets with all of them.
 var fleetSeeds = []uint64{0, 1000, 2000, 3000}
 
-// Guards against nodes that all call for the list at the same time: most calls time out, discovery works on them all
-// the same, and no node gets an answer for tens of seconds. Seven in ten nodes may start together, and nine in ten of
+// Guards against nodes that all call for the list at the same time: most calls time out, discovery works on them
+// nevertheless, and no node gets an answer for tens of seconds. Seven in ten nodes may start together, and nine in ten of
 // those have to be ready within 10 s.
 func TestNodesThatStartTogetherGetTheList(t *testing.T) {
 	for _, c := range []struct {
@@ -103,13 +103,15 @@
 			took, calls := startFleet(t, c.fleetSize, c.started, seed,
 				sequentialDiscovery{callDuration: changesCallDuration, maxWait: changesCallMaxWait}, c.within)
 			if calls > c.started*3/2 {
-				t.Errorf("%d calls until %d nodes of a fleet of %d had a watch after %v, want 1.5 per started node at most", calls, c.started, c.fleetSize, took)
+				t.Errorf("%d calls until %d nodes of a fleet of %d had a watch after %v, want 1.5 per started node at most",
+					calls, c.started, c.fleetSize, took)
 			}
 		}
 	}
 }
 
-// Guards against the same where each call takes discovery as long as one for a whole list.
+// Guards against nodes that all call for the list at the same time where each call takes discovery as long as one for a
+// whole list.
 func TestFleetThatStartsAtOnceGetsTheList(t *testing.T) {
 	took, calls := startFleet(t, 80, 80, 0, sequentialDiscovery{callDuration: 95 * ms, maxWait: time.Second}, 20*time.Second)
 	if calls > 120 {
@@ -117,8 +119,8 @@
 	}
 }
 
-// Guards against the same where discovery is busy for 6 s at the start and each call takes it four times as long as
-// usual.
+// Guards against nodes that all call for the list at the same time where discovery is busy for 6 s at the start and each
+// call takes it four times as long as usual.
 func TestFleetWithSlowCallsGetsTheListBehindABacklog(t *testing.T) {
 	discovery := sequentialDiscovery{callDuration: 40 * ms, maxWait: time.Second, freeAt: time.Hour + 6*time.Second}
 	startFleet(t, 80, 80, 0, discovery, 20*time.Second)
@@ -134,7 +136,7 @@
 	}
 }
 
-// Guards against a fleet that overloads discovery for good: its calls together take discovery longer than the time
+// Guards against a fleet that overloads discovery permanently: its calls together take discovery longer than the time
 // within which a node has to learn of a change. The fleet has to call less often after a while, or no node would ever
 // get an answer.
 func TestFleetThatOverloadsDiscoveryBacksOff(t *testing.T) {
@@ -142,11 +144,11 @@
 	startFleet(t, 80, 80, 0, discovery, 200*time.Second)
 }
 
-// Guards against sends to draining servers: 6 s after a call that failed, was refused or was given up, a node counts as
-// told of every change that discovery has, however large the fleet is and however long discovery was down. The next
-// call has to be answered before that.
+// Guards against sends to draining servers: 6 s after a call that failed, was refused or was given up, a node has to know
+// every change that discovery has, however large the fleet is and however long discovery was down. The next call has to
+// be answered before that.
 func TestFailedCallIsRetriedBeforeTheListIsDue(t *testing.T) {
-	const listDueAfter, maxCallDuration = 6 * time.Second, 500 * ms // the longest time that an answered call takes
+	const maxAge, maxCallDuration = 6 * time.Second, 500 * ms // the longest time that an answered call takes
 	for _, nodes := range []int{1, 20, 350} {
 		for seed := range uint64(20) {
 			settings := testSettings()
@@ -170,11 +172,11 @@
 			requireCall(settings.Rules.MaxCallInterval)
 			r.deliverList(ListChanges)
 			r.deliverList(ListFailed) // the watch breaks
-			requireCall(listDueAfter - maxCallDuration)
+			requireCall(maxAge - maxCallDuration)
 			for _, took := range []time.Duration{0, time.Second, 2 * time.Second, 0, 2 * time.Second} {
 				r.advance(took)
 				r.deliverList(ListFailed)
-				requireCall(listDueAfter - maxCallDuration - took)
+				requireCall(maxAge - maxCallDuration - took)
 			}
 		}
 	}
@@ -210,7 +212,7 @@
 	}
 }
 
-// Guards against sends to draining servers: a node that has not called for Rules.MaxCallInterval counts as told of
+// Guards against sends to draining servers: a node that has not called for Rules.MaxCallInterval has to know
 // every change, however large the fleet is.
 func TestFirstCallIsMadeBeforeTheListIsDue(t *testing.T) {
 	settings := testSettings()
@@ -236,7 +238,7 @@
 		requireCall("the start", settings.Rules.MaxCallInterval)
 		r.deliverList(ListFailed)
 		requireCall("the end of the watch", settings.Rules.MaxCallInterval)
-		r.deliverList(ListSilent) // is noticed 3 s after its call at the latest, which leaves 3 s
+		r.deliverList(ListSilent) // a silent watch is noticed 3 s after its call at the latest, which leaves 3 s
 		requireCall("a silent watch", 3*time.Second)
 		r.deliverList(ListSilent)
 		calls := host.callCount
--- a/policy/invariants_test.go
+++ b/policy/invariants_test.go
@@ -8,10 +8,9 @@
 	"time"
 )
 
-// ruleChecker is a Host that sends random events to one Balancer and checks each
-// of its actions against the rules: one final answer in time, no second run of a
-// request that must not run twice, no send to a server after a drain notice, no
-// more attempts than permitted.
+// ruleChecker is a Host that sends random events to one Balancer and checks that its actions keep these rules: each
+// request gets one final answer in time, none runs twice that must not, nothing is sent to a server after its drain
+// notice, and no request has more attempts than permitted.
 type ruleChecker struct {
 	*fakeHost
 	t            *testing.T
@@ -23,7 +22,7 @@
 	entries      map[ServerID]Entry
 }
 
-// checkedRequest is a request as the ruleChecker knows it.
+// checkedRequest is what the ruleChecker records of a request.
 type checkedRequest struct {
 	class    Class
 	deadline time.Duration
@@ -31,7 +30,7 @@
 	done     bool
 }
 
-// checkedAttempt is an attempt as the ruleChecker knows it.
+// checkedAttempt is what the ruleChecker records of an attempt.
 type checkedAttempt struct {
 	server          Entry
 	sentAt          time.Duration
@@ -53,13 +52,14 @@
 	case len(checked.attempts) >= 4:
 		c.t.Errorf("%v: request %d has more than 4 attempts", c.now, id)
 	}
-	end := time.Duration(0)
+	earliestWindowEnd := time.Duration(0)
 	for _, a := range checked.attempts {
 		if a.neverRan {
 			continue
 		}
-		if windowEnd := a.sentAt + checked.class.DedupWindow; checked.class.Idempotency == IdempotentByKey && (end == 0 || windowEnd < end) {
-			end = windowEnd
+		if windowEnd := a.sentAt + checked.class.DedupWindow; checked.class.Idempotency == IdempotentByKey &&
+			(earliestWindowEnd == 0 || windowEnd < earliestWindowEnd) {
+			earliestWindowEnd = windowEnd
 		}
 		if checked.class.Idempotency == NonIdempotent {
 			c.t.Errorf("%v: non-idempotent request %d sent again though it may have run", c.now, id)
@@ -68,13 +68,13 @@
 			c.t.Errorf("%v: request %d with a key repeated outside its dedup scope or window", c.now, id)
 		}
 	}
-	if writeDeadline := c.writeDeadlines[id]; writeDeadline != end {
-		c.t.Errorf("%v: write deadline of request %d is %v, want %v", c.now, id, writeDeadline, end)
+	if writeDeadline := c.writeDeadlines[id]; writeDeadline != earliestWindowEnd {
+		c.t.Errorf("%v: write deadline of request %d is %v, want %v", c.now, id, writeDeadline, earliestWindowEnd)
 	}
 	checked.attempts = append(checked.attempts, &checkedAttempt{server: s, sentAt: c.now, inFlight: true})
 }
 
-// CancelUnsent cancels half of the attempts; the others count as sent already.
+// CancelUnsent cancels half of the attempts at random; the others count as sent already.
 func (c *ruleChecker) CancelUnsent(id RequestID, attempt int) {
 	c.fakeHost.CancelUnsent(id, attempt)
 	checked := c.requests[id]
@@ -90,7 +90,7 @@
 	a.willBeUnsent = c.rng.IntN(2) == 0
 }
 
-// recordAnswer takes the final answer of a request, which must be the only one and in time.
+// recordAnswer records the final answer of a request, and checks that it is the only one and in time.
 func (c *ruleChecker) recordAnswer(id RequestID) *checkedRequest {
 	c.answerCounts[id]++
 	checked := c.requests[id]
@@ -120,7 +120,8 @@
 	c.recordAnswer(id)
 }
 
-// endAttempt ends attempt i of a request: with a random status, or with Timeout past the deadline.
+// endAttempt ends attempt i of a request: with a random status, with Timeout from the deadline on, with Cancelled after
+// the final answer, or with NotSent if it was cancelled unsent.
 func (c *ruleChecker) endAttempt(id RequestID, checked *checkedRequest, i int) {
 	a := checked.attempts[i]
 	status := []Status{OK, OK, OK, ServerError, Rejected, Timeout, ConnectFailed, ConnectionReset}[c.rng.IntN(8)]
--- a/policy/late_answers_test.go
+++ b/policy/late_answers_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// lateAnswerCase describes a discovery that is reachable all the time and answers late from a change on, which
-// the open watch misses. Calls meet the faults in turn.
+// lateAnswerCase describes a discovery that is always reachable. From a change on, which the open watch misses, its
+// answers are late, and calls meet the faults in turn.
 type lateAnswerCase struct {
 	name     string
-	maxDelay time.Duration // longest delay with which changes are known in time
+	maxDelay time.Duration // longest delay of answers or calls at which changes are known in time
 	faults   func(late time.Duration) []discoveryFault
 }
 
@@ -42,113 +42,120 @@
 
 // timeToLearnMissedChange makes a change that the calls in flight miss, and returns the time until the node
 // knows it.
-func (m *discoveryRun) timeToLearnMissedChange(faults []discoveryFault) time.Duration {
-	m.faultCycle, m.faultCycleSince = faults, m.now
-	for _, call := range m.inFlight {
+func (run *discoveryRun) timeToLearnMissedChange(faults []discoveryFault) time.Duration {
+	run.faultCycle, run.faultCycleSince = faults, run.now
+	for _, call := range run.inFlight {
 		call.missesChanges = true
 	}
-	m.changes = append(m.changes, modelChange{m.now, m.now + maxListAge})
-	made, known := m.now, len(m.changes)
-	for m.knownChanges < known && m.now-made < time.Minute {
-		m.advanceStep(5 * ms)
+	run.changes = append(run.changes, discoveryChange{run.now, run.now + maxListAge})
+	made, known := run.now, len(run.changes)
+	for run.knownChanges < known && run.now-made < time.Minute {
+		run.advanceStep(5 * ms)
 	}
-	return m.now - made
+	return run.now - made
 }
 
-// Guards the drain rule where discovery answers late, or fails some calls and answers the others late.
+// Guards against requests to servers out of service where discovery answers late, or fails some calls and answers the
+// others late.
 func TestMissedChangeIsKnownInTimeThoughAnswersAreLate(t *testing.T) {
 	const step, seeds = 500 * ms, 12
-	for _, kind := range toleratedLateAnswers {
+	for _, c := range toleratedLateAnswers {
 		for _, nodes := range []int{1, 2, 8, 32} {
 			worst, at := time.Duration(0), ""
-			for late := time.Duration(0); late <= kind.maxDelay; late += step {
+			for late := time.Duration(0); late <= c.maxDelay; late += step {
 				for seed := range uint64(seeds) {
-					m := newDiscoveryRun(t, false, nodes, seed, discoveryFault{})
-					m.advanceUntil(5*time.Second + time.Duration(seed)*237*ms)
-					if took := m.timeToLearnMissedChange(kind.faults(late)); took > worst {
+					run := newDiscoveryRun(t, false, nodes, seed, discoveryFault{})
+					run.advanceUntil(5*time.Second + time.Duration(seed)*237*ms)
+					if took := run.timeToLearnMissedChange(c.faults(late)); took > worst {
 						worst, at = took, fmt.Sprintf("late by %v, seed %d", late, seed)
 					}
 				}
 			}
 			if worst > maxListAge+maxLateness {
-				t.Errorf("%d nodes, %s: the node knows a change %v after it was made (%s)", nodes, kind.name, worst, at)
+				t.Errorf("%d nodes, %s: the node knows a change %v after it was made (%s)", nodes, c.name, worst, at)
 			}
 		}
 	}
 }
 
-// Guards the drain rule where discovery is reachable for a second at a time, between outages of any length.
+// Guards against requests to servers out of service where discovery is reachable for a second at a time, between outages
+// of any length.
 func TestChangeIsKnownInTimeThoughDiscoveryIsThereForASecondAtATime(t *testing.T) {
-	requireChangeKnownAfterOutages(t, time.Second, discoveryFault{name: "refuses", refuseShare: 1}, discoveryFault{name: "never answers", noAnswerShare: 1})
+	requireChangeKnownAfterOutages(t, time.Second,
+		discoveryFault{name: "refuses", refuseShare: 1}, discoveryFault{name: "never answers", noAnswerShare: 1})
 }
 
-// Guards the drain rule where a call takes as long to be refused as discovery is reachable.
+// Guards against requests to servers out of service where a call takes as long to be refused as discovery is reachable.
 func TestChangeIsKnownInTimeThoughDiscoveryThatRefusesLateIsThereForASecondAtATime(t *testing.T) {
-	requireChangeKnownAfterOutages(t, time.Second, discoveryFault{name: "refuses after 1 s", lateRefuseShare: 1, lateRefuseAfter: time.Second})
+	requireChangeKnownAfterOutages(t, time.Second,
+		discoveryFault{name: "refuses after 1 s", lateRefuseShare: 1, lateRefuseAfter: time.Second})
 }
 
-// Guards the drain rule where a call takes half as long to be refused as discovery is reachable.
+// Guards against requests to servers out of service where a call takes half as long to be refused as discovery is
+// reachable.
 func TestChangeIsKnownInTimeThoughDiscoveryThatRefusesLateIsThereForTwoSecondsAtATime(t *testing.T) {
-	requireChangeKnownAfterOutages(t, 2*time.Second, discoveryFault{name: "refuses after 1 s", lateRefuseShare: 1, lateRefuseAfter: time.Second})
+	requireChangeKnownAfterOutages(t, 2*time.Second,
+		discoveryFault{name: "refuses after 1 s", lateRefuseShare: 1, lateRefuseAfter: time.Second})
 }
 
-// requireChangeKnownAfterOutages simulates outages of some kinds. It checks that the node knows a change once
-// discovery was reachable for the given time.
-func requireChangeKnownAfterOutages(t *testing.T, reachableFor time.Duration, kinds ...discoveryFault) {
+// requireChangeKnownAfterOutages simulates an outage by each of the faults. It checks that the node knows a change once
+// discovery was reachable again for the given time.
+func requireChangeKnownAfterOutages(t *testing.T, reachableFor time.Duration, faults ...discoveryFault) {
 	t.Helper()
 	const seeds = 12
-	for _, kind := range kinds {
+	for _, fault := range faults {
 		for _, nodes := range []int{1, 2, 8} {
 			for _, outage := range []time.Duration{3 * time.Second, 9 * time.Second, 25 * time.Second, 80 * time.Second} {
 				unknown := 0
 				for seed := range uint64(seeds) {
-					m := newDiscoveryRun(t, false, nodes, seed, discoveryFault{})
-					m.advanceUntil(5*time.Second + time.Duration(seed)*131*ms)
-					unknown += m.unknownChangesAfterOutage(kind, outage, reachableFor)
+					run := newDiscoveryRun(t, false, nodes, seed, discoveryFault{})
+					run.advanceUntil(5*time.Second + time.Duration(seed)*131*ms)
+					unknown += run.unknownChangesAfterOutage(fault, outage, reachableFor)
 				}
 				if unknown > 0 {
-					t.Errorf("%s for %v, %d nodes: in %d of %d outages no answer comes while discovery is reachable for %v", kind.name, outage, nodes, unknown, seeds, reachableFor)
+					t.Errorf("%s for %v, %d nodes: in %d of %d outages no answer comes while discovery is reachable for %v",
+						fault.name, outage, nodes, unknown, seeds, reachableFor)
 				}
 			}
 		}
 	}
 }
 
-// unknownChangesAfterOutage makes a change as an outage begins, and counts the changes that the node does not
-// know after discovery was reachable again for the given time: 0 or 1.
-func (m *discoveryRun) unknownChangesAfterOutage(kind discoveryFault, outage, reachableFor time.Duration) int {
-	m.faultCycle, m.faultCycleSince = []discoveryFault{kind}, m.now
-	for _, call := range m.inFlight {
+// unknownChangesAfterOutage makes a change as an outage begins, and returns the number of changes that the node does
+// not know after discovery was reachable again for the given time: 0 or 1.
+func (run *discoveryRun) unknownChangesAfterOutage(fault discoveryFault, outage, reachableFor time.Duration) int {
+	run.faultCycle, run.faultCycleSince = []discoveryFault{fault}, run.now
+	for _, call := range run.inFlight {
 		call.neverAnswered = true
 	}
-	m.changes = append(m.changes, modelChange{madeAt: m.now})
-	m.advanceInSteps(outage)
-	m.faultCycle = nil
-	m.advanceInSteps(reachableFor)
-	return len(m.changes) - m.knownChanges
+	run.changes = append(run.changes, discoveryChange{madeAt: run.now})
+	run.advanceInSteps(outage)
+	run.faultCycle = nil
+	run.advanceInSteps(reachableFor)
+	return len(run.changes) - run.knownChanges
 }
 
 // advanceInSteps advances the time in small steps.
-func (m *discoveryRun) advanceInSteps(span time.Duration) {
-	for end := m.now + span; m.now < end; {
-		m.advanceStep(5 * ms)
+func (run *discoveryRun) advanceInSteps(span time.Duration) {
+	for end := run.now + span; run.now < end; {
+		run.advanceStep(5 * ms)
 	}
 }
 
-// advanceUntil advances the time until the given time after the first answer.
-func (m *discoveryRun) advanceUntil(after time.Duration) {
-	for m.firstAnswerAt == 0 || m.now < m.firstAnswerAt+after {
-		m.advanceStep(5 * ms)
+// advanceUntil advances the time to the given time after the first answer.
+func (run *discoveryRun) advanceUntil(after time.Duration) {
+	for run.firstAnswerAt == 0 || run.now < run.firstAnswerAt+after {
+		run.advanceStep(5 * ms)
 	}
 }
 
-// faultOfCall returns the fault that the newest call meets, where calls meet faults in turn.
-func (m *discoveryRun) faultOfCall() (discoveryFault, bool) {
-	if len(m.faultCycle) == 0 {
+// faultOfCall returns the fault of faultCycle that the newest call meets. It reports whether there is a faultCycle.
+func (run *discoveryRun) faultOfCall() (discoveryFault, bool) {
+	if len(run.faultCycle) == 0 {
 		return discoveryFault{}, false
 	}
-	firstInCycle := slices.IndexFunc(m.callTimes, func(at time.Duration) bool { return at >= m.faultCycleSince })
-	return m.faultCycle[(len(m.callTimes)-1-max(firstInCycle, 0))%len(m.faultCycle)], true
+	firstInCycle := slices.IndexFunc(run.callTimes, func(at time.Duration) bool { return at >= run.faultCycleSince })
+	return run.faultCycle[(len(run.callTimes)-1-max(firstInCycle, 0))%len(run.faultCycle)], true
 }
 
 // overdueCounter counts the reports of an overdue list.
@@ -161,8 +168,8 @@
 func (c *overdueCounter) CallPlanned(_, _ time.Duration)  {}
 func (c *overdueCounter) ListOverdue(since time.Duration) { c.reports, c.since = c.reports+1, since }
 
-// Guards against a node that does not report, or reports repeatedly, that what it has received is older than the
-// rules allow. An answer with such a delay is too old as well.
+// Guards against a node that does not report, or reports repeatedly, that its list is overdue because the latest answer
+// is older than maxListAge. An answer that is delayed by more than that is too old as well.
 func TestOverdueListIsReportedOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		faults   []discoveryFault
@@ -176,22 +183,22 @@
 		"answers come later than allowed":        {[]discoveryFault{{answerDelay: 8 * time.Second}}, 15 * time.Second, 1},
 		"calls are refused for longer than that": {[]discoveryFault{{refuseShare: 1}}, 7 * time.Second, 1},
 	} {
-		m := newDiscoveryRun(t, false, 8, 1, discoveryFault{})
+		run := newDiscoveryRun(t, false, 8, 1, discoveryFault{})
 		counter := &overdueCounter{}
-		m.b.Observe(counter)
-		m.advanceUntil(5 * time.Second)
-		m.faultCycle, m.faultCycleSince = c.faults, m.now
-		m.advanceInSteps(c.duration)
+		run.b.Observe(counter)
+		run.advanceUntil(5 * time.Second)
+		run.faultCycle, run.faultCycleSince = c.faults, run.now
+		run.advanceInSteps(c.duration)
 		if counter.reports != c.want {
 			t.Errorf("%s: overdue list reported %d times, want %d", name, counter.reports, c.want)
 		}
-		if c.want > 0 && counter.since > m.faultCycleSince+maxListAge+time.Second {
-			t.Errorf("%s: list deadline is %v after the last answer", name, counter.since-m.faultCycleSince)
+		if c.want > 0 && counter.since > run.faultCycleSince+maxListAge+time.Second {
+			t.Errorf("%s: list deadline is %v after the last answer", name, counter.since-run.faultCycleSince)
 		}
-		if m.faultCycle = nil; c.want > 0 {
-			m.advanceInSteps(10 * time.Second)
-			m.faultCycle, m.faultCycleSince = []discoveryFault{{noAnswerShare: 1}}, m.now
-			m.advanceInSteps(10 * time.Second)
+		if run.faultCycle = nil; c.want > 0 {
+			run.advanceInSteps(10 * time.Second)
+			run.faultCycle, run.faultCycleSince = []discoveryFault{{noAnswerShare: 1}}, run.now
+			run.advanceInSteps(10 * time.Second)
 			if counter.reports <= c.want {
 				t.Errorf("%s: overdue list not reported again after an answer", name)
 			}
@@ -199,29 +206,30 @@
 	}
 }
 
-// Guards the drain rule after a reload: the node is expected to know the list of the new address within
-// maxAddressChangeDelay.
+// Guards against requests to servers out of service after a reload: the node has to know the list of the new address
+// within maxAddressChangeDelay.
 func TestChangeIsKnownInTimeAfterAReloadThoughAnswersAreLate(t *testing.T) {
-	const seeds, toLate = 12, maxAddressChangeDelay - maxLateThreshold
-	for _, kind := range []struct {
+	const seeds, toleratedDelay = 12, maxAddressChangeDelay - maxLateThreshold
+	for _, c := range []struct {
 		name   string
 		faults []discoveryFault
 	}{
 		{"each answer is late by 3.5 s", []discoveryFault{{answerDelay: 3500 * ms}}},
 		{"every other call is refused, answers are late by 2.5 s", []discoveryFault{{refuseShare: 1}, {answerDelay: 2500 * ms}}},
-		{"every other answer is cut at its end, late by 1.5 s", []discoveryFault{{answerDelay: toLate, unusableShare: 1}, {answerDelay: toLate}}},
-		{"every other call is never answered, answers are late by 1.5 s", []discoveryFault{{noAnswerShare: 1}, {answerDelay: toLate}}},
+		{"every other answer is cut at its end, late by 1.5 s",
+			[]discoveryFault{{answerDelay: toleratedDelay, unusableShare: 1}, {answerDelay: toleratedDelay}}},
+		{"every other call is never answered, answers are late by 1.5 s", []discoveryFault{{noAnswerShare: 1}, {answerDelay: toleratedDelay}}},
 	} {
 		for _, nodes := range []int{1, 8, 32} {
 			worst := time.Duration(0)
 			for seed := range uint64(seeds) {
-				m := newDiscoveryRun(t, false, nodes, seed, discoveryFault{})
-				m.advanceUntil(5*time.Second + time.Duration(seed)*237*ms)
-				m.deliverList(ListAddressChanged)
-				worst = max(worst, m.timeToLearnMissedChange(kind.faults))
+				run := newDiscoveryRun(t, false, nodes, seed, discoveryFault{})
+				run.advanceUntil(5*time.Second + time.Duration(seed)*237*ms)
+				run.deliverList(ListAddressChanged)
+				worst = max(worst, run.timeToLearnMissedChange(c.faults))
 			}
 			if worst > maxAddressChangeDelay+maxLateness {
-				t.Errorf("%d nodes, %s: the node knows a change %v after the reload", nodes, kind.name, worst)
+				t.Errorf("%d nodes, %s: the node knows a change %v after the reload", nodes, c.name, worst)
 			}
 		}
 	}
--- a/policy/lifecycle_checker_test.go
+++ b/policy/lifecycle_checker_test.go
@@ -10,8 +10,9 @@
 
 // sourceStartRule determines from when on a checker counts a source as the current one. The interface reports the
 // change of the address; a node knows what a source has from its first answer on. What may be sent is checked
-// by the earlier time and what has to be sent by the later one, so that both are allowed in between. The same
-// goes for whether a source starts anew that a new configuration names again, without any other one in between.
+// by the earlier time and what has to be sent by the later one, so that both are allowed in between. The rule also
+// determines whether a source counts as a new one when another configuration names it again, without any other
+// source in between: it does by startsAtFirstAnswer alone.
 type sourceStartRule uint8
 
 const (
@@ -19,7 +20,7 @@
 	startsAtFirstAnswer
 )
 
-// violationKind is a way in which a rule is violated.
+// violationKind is a way in which a Balancer violates a rule.
 type violationKind uint8
 
 const (
@@ -37,8 +38,9 @@
 var violationNames = [...]string{
 	noViolation: "no violation", sentUnconfirmed: "sent before the list is confirmed",
 	sentToUnlisted: "sent though it is not listed", sentToFormerIncarnation: "sent though it has restarted",
-	sentToOutOfService: "sent though it was reported out of service", notCancelledOutOfService: "not cancelled though it was reported out of service",
-	cancelledInService: "cancelled though it is in service", inServiceWithoutWork: "in service and gets no work",
+	sentToOutOfService:       "sent though it was reported out of service",
+	notCancelledOutOfService: "not cancelled though it was reported out of service",
+	cancelledInService:       "cancelled though it is in service", inServiceWithoutWork: "in service and gets no work",
 }
 
 func (k violationKind) String() string { return violationNames[k] }
@@ -48,14 +50,14 @@
 	kind      violationKind
 	at        time.Duration // time since the start of the first process
 	server    ServerID
-	startedAt time.Duration // start of the server
+	startedAt time.Duration // start of the server, which identifies its incarnation
 }
 
 func (v ruleViolation) String() string {
 	return fmt.Sprintf("at %v, server %d (start %v): %v", v.at, v.server, v.startedAt, v.kind)
 }
 
-// listUpdate holds the arguments of a call of Balancer.ListUpdatedFrom.
+// listUpdate holds the arguments of a call to Balancer.ListUpdatedFrom.
 type listUpdate struct {
 	origin  Origin
 	kind    ListKind
@@ -71,7 +73,7 @@
 	listedAgain bool // a whole answer has listed the server in service since
 }
 
-// latestEntry is the last entry about a server that counts, from a whole answer.
+// latestEntry is the last entry of a server that counts, from a whole answer.
 type latestEntry struct {
 	known      bool
 	startedAt  time.Duration
@@ -86,7 +88,7 @@
 	notices []outOfServiceNotice
 }
 
-// lifecycleChecker tells from list updates alone which incarnations of servers a process may send to. It keeps
+// lifecycleChecker determines from list updates alone which incarnations of servers a process may send to. It keeps
 // every notice that an incarnation is out of service until that notice has been undone.
 type lifecycleChecker struct {
 	sourceStart sourceStartRule
@@ -109,7 +111,7 @@
 	}
 }
 
-// record returns what is known of a server.
+// record returns the record of a server, a new one if there is none.
 func (c *lifecycleChecker) record(server ServerID) *serverRecord {
 	r := c.records[server]
 	if r == nil {
@@ -119,7 +121,7 @@
 	return r
 }
 
-// apply takes in a list update.
+// apply applies a list update.
 func (c *lifecycleChecker) apply(now time.Duration, update listUpdate) {
 	switch update.kind {
 	case ListAddressChanged:
@@ -132,8 +134,8 @@
 	}
 }
 
-// applyPartial takes in an update of which only what is out of service counts. An entry of a former incarnation
-// may count against the current one where it could in a whole answer: such a server need not get work, but may.
+// applyPartial applies an update of which only the entries out of service count. An entry of a former incarnation may
+// take the current one out of service where it could in a whole answer: such a server need not get work, but may.
 func (c *lifecycleChecker) applyPartial(now time.Duration, update listUpdate) {
 	for _, e := range update.entries {
 		if e.State == StateInService {
@@ -151,7 +153,7 @@
 	}
 }
 
-// applyWhole takes in an answer that counts as a whole.
+// applyWhole applies an answer of which all entries count.
 func (c *lifecycleChecker) applyWhole(now time.Duration, update listUpdate) {
 	origin := update.origin
 	isAnother := origin.Source != c.latestOrigin.Source
@@ -184,7 +186,7 @@
 	return slices.ContainsFunc(u.entries, func(entry Entry) bool { return entry.Server == server })
 }
 
-// recordUnnamedOutOfService records that the servers are out of service that a whole list does not name.
+// recordUnnamedOutOfService records as out of service the servers that a whole list does not name.
 func (c *lifecycleChecker) recordUnnamedOutOfService(now time.Duration, update listUpdate, partial bool) {
 	for server, r := range c.records {
 		if update.names(server) {
@@ -206,8 +208,8 @@
 	return latest
 }
 
-// applyEntry takes in an entry of a whole answer. One of an earlier incarnation than the known one says
-// nothing, unless it is a later statement of the same source, or all sources must have caught up.
+// applyEntry applies an entry of a whole answer. One of an earlier incarnation than the known one is ignored, unless it
+// is a later statement of the same source, or maxReplicaLag has passed, after which all sources must have caught up.
 func (c *lifecycleChecker) applyEntry(now time.Duration, origin Origin, e Entry) {
 	r := c.record(e.Server)
 	if isFormer := r.latest.known && e.StartedAt < r.latest.startedAt; isFormer {
@@ -261,8 +263,8 @@
 }
 
 // undoPartialNotices removes notices by partial answers after changes that do not name the server: those of the
-// same source up to that version, or of any source once every source must have caught up. Where whole answers
-// list the server as out of service too, nothing is removed.
+// same source up to the version of the changes, or of any source once every source must have caught up. Where whole
+// answers list the server as out of service too, nothing is removed.
 func (r *serverRecord) undoPartialNotices(now time.Duration, origin Origin, sourceSince time.Duration) {
 	if !r.latest.inService {
 		return
@@ -273,8 +275,8 @@
 	})
 }
 
-// expireNotices removes notices against servers that are listed in service all the same, at an answer that
-// comes once any source must have caught up. Time alone removes no notice.
+// expireNotices is called at each answer. It removes notices about servers that are nevertheless listed in service, once
+// every source must have caught up. Time alone removes no notice.
 func (c *lifecycleChecker) expireNotices(now time.Duration) {
 	for _, r := range c.records {
 		if !r.latest.inService {
@@ -306,7 +308,7 @@
 	return latest.startedAt, c.serving(now) && latest.inService && !c.isOutOfService(server, latest.startedAt)
 }
 
-// checkSend returns the rule that a new attempt violates, or noViolation.
+// checkSend returns the way in which a new attempt violates a rule, or noViolation.
 func (c *lifecycleChecker) checkSend(now time.Duration, server ServerID, startedAt time.Duration) violationKind {
 	latest := c.record(server).latest
 	switch {
@@ -345,7 +347,7 @@
 	return Entry{Server: server, State: StateDraining, StartedAt: startedAt}
 }
 
-// Guards against a checker that misses a violation, with which the model would prove nothing.
+// Guards against a checker that misses violations, so that the model would prove nothing.
 func TestLifecycleCheckerCatchesSendsThatBreakTheRules(t *testing.T) {
 	inService := inServiceEntries(1, 1)[0]
 	later := inService
@@ -358,24 +360,28 @@
 		"drained by changes":        {[]listUpdate{{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, 0)}}}, 0, sentToOutOfService},
 		"removed by changes":        {[]listUpdate{{Origin{1, 2}, ListChanges, []Entry{{Server: 1, State: StateGone}}}}, 0, sentToOutOfService},
 		"not named by a whole list": {[]listUpdate{{Origin{1, 2}, ListWhole, inServiceEntries(2, 2)}}, 0, sentToOutOfService},
-		"drained by a cut answer":   {[]listUpdate{{Origin{1, 2}, ListPartial, []Entry{drainingEntry(1, 0)}}}, 0, sentToOutOfService},
+		"drained by an answer that is cut off": {
+			[]listUpdate{{Origin{1, 2}, ListPartial, []Entry{drainingEntry(1, 0)}}}, 0, sentToOutOfService},
 		"not named by an earlier version": {[]listUpdate{
 			{Origin{1, 3}, ListWhole, inServiceEntries(1, 2)}, {Origin{1, 2}, ListOutdated, inServiceEntries(2, 2)}}, 0, sentToOutOfService},
-		"drained by changes, and no answer since": {[]listUpdate{{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, 0)}}}, 10 * maxReplicaLag, sentToOutOfService},
-		"drained by a cut answer, and no answer since": {
+		"drained by changes, and no answer since": {
+			[]listUpdate{{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, 0)}}}, 10 * maxReplicaLag, sentToOutOfService},
+		"drained by an answer that is cut off, and no answer since": {
 			[]listUpdate{{Origin{1, 2}, ListPartial, []Entry{drainingEntry(1, 0)}}}, 10 * maxReplicaLag, sentToOutOfService},
 		"listed by another source, and no answer since": {[]listUpdate{
 			{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, 0)}}, {Origin{2, 9}, ListAddressChanged, nil},
 			{Origin{2, 9}, ListWhole, inServiceEntries(1, 2)}}, 10 * maxReplicaLag, sentToOutOfService},
 		"listed by a version that went back": {[]listUpdate{
-			{Origin{1, 5}, ListChanges, []Entry{drainingEntry(1, 0)}}, {Origin{1, 1}, ListWhole, inServiceEntries(1, 2)}}, 10 * maxReplicaLag, sentToOutOfService},
-		"listed again by the second of two sources that took it out": {[]listUpdate{
+			{Origin{1, 5}, ListChanges, []Entry{drainingEntry(1, 0)}},
+			{Origin{1, 1}, ListWhole, inServiceEntries(1, 2)}}, 10 * maxReplicaLag, sentToOutOfService},
+		"listed again by the second of two sources that reported it out of service": {[]listUpdate{
 			{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, 0)}}, {Origin{2, 1}, ListAddressChanged, nil},
 			{Origin{2, 1}, ListWhole, inServiceEntries(2, 2)}, {Origin{2, 2}, ListChanges, []Entry{inService}}}, 0, sentToOutOfService},
 		"an earlier start": {[]listUpdate{
 			{Origin{1, 2}, ListChanges, []Entry{later}}, {Origin{2, 9}, ListWhole, inServiceEntries(1, 2)}}, 0, sentToFormerIncarnation},
-		"a later start that is out, an earlier one listed": {[]listUpdate{
-			{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, time.Hour)}}, {Origin{2, 9}, ListWhole, inServiceEntries(1, 2)}}, 0, sentToFormerIncarnation},
+		"a later start out of service, an earlier one listed": {[]listUpdate{
+			{Origin{1, 2}, ListChanges, []Entry{drainingEntry(1, time.Hour)}},
+			{Origin{2, 9}, ListWhole, inServiceEntries(1, 2)}}, 0, sentToFormerIncarnation},
 	} {
 		checker := newConfirmedChecker()
 		for _, update := range c.updates {
@@ -393,7 +399,7 @@
 	}
 }
 
-// Guards against a checker that forbids sends to servers that are back, or does not require them.
+// Guards against a checker that forbids sends to servers that are in service again, or does not require them.
 func TestLifecycleCheckerRequiresWorkForReturnedServers(t *testing.T) {
 	later := inServiceEntries(1, 1)[0]
 	later.StartedAt = time.Hour
@@ -403,14 +409,15 @@
 		startedAt time.Duration
 	}{
 		"a later version": {[]listUpdate{drained, {Origin{1, 3}, ListChanges, inServiceEntries(1, 1)}}, 0},
-		"a later start, whoever tells it": {[]listUpdate{
+		"a later start, whichever source reports it": {[]listUpdate{
 			drained, {Origin{2, 1}, ListAddressChanged, nil}, {Origin{2, 1}, ListWhole, []Entry{later, inServiceEntries(2, 2)[0]}}}, time.Hour},
-		"a cut answer that a whole one corrects": {[]listUpdate{
+		"an answer that is cut off, which a whole one corrects": {[]listUpdate{
 			{Origin{1, 2}, ListPartial, []Entry{drainingEntry(1, 0)}}, {Origin{1, 3}, ListWhole, inServiceEntries(1, 2)}}, 0},
-		"a cut answer, and changes that do not name it": {[]listUpdate{
+		"an answer that is cut off, and changes that do not name the server": {[]listUpdate{
 			{Origin{1, 2}, ListPartial, []Entry{drainingEntry(1, 0)}}, {Origin{1, 3}, ListChanges, nil}}, 0},
 		"an earlier version, and the current one again": {[]listUpdate{
-			{Origin{1, 4}, ListWhole, inServiceEntries(1, 2)}, {Origin{1, 3}, ListOutdated, inServiceEntries(2, 2)}, {Origin{1, 4}, ListChanges, nil}}, 0},
+			{Origin{1, 4}, ListWhole, inServiceEntries(1, 2)}, {Origin{1, 3}, ListOutdated, inServiceEntries(2, 2)},
+			{Origin{1, 4}, ListChanges, nil}}, 0},
 	} {
 		checker := newConfirmedChecker()
 		for _, update := range c.updates {
@@ -425,8 +432,8 @@
 	}
 }
 
-// Guards against a checker that puts a server too early or too late into service: one that another source lists
-// in service is back once that source must have caught up, and answers.
+// Guards against a checker that puts a server into service too early or too late: one that another source lists in
+// service is in service again at the first answer after that source must have caught up.
 func TestLifecycleCheckerWaitsForSourcesThatLag(t *testing.T) {
 	for _, wait := range []time.Duration{maxReplicaLag - 1, maxReplicaLag} {
 		checker := newConfirmedChecker()
@@ -442,7 +449,7 @@
 	}
 }
 
-// Guards against a checker that allows sends by a cached list before its time.
+// Guards against a checker that allows sends by a cached list before that list may serve requests.
 func TestLifecycleCheckerCatchesSendsByUnconfirmedLists(t *testing.T) {
 	for _, onRequest := range []bool{false, true} {
 		checker := newLifecycleChecker(0, onRequest, startsAtAddressChange)
--- a/policy/lifecycle_model_test.go
+++ b/policy/lifecycle_model_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// A model of what discovery says about the incarnations of two servers, and of all the ways in which a node may
-// learn it: two sources that lag behind each other, whole answers and changes, earlier versions, answers that
+// This file has a model of what discovery says about the incarnations of two servers, and of all the ways in which a
+// node may learn it: two sources of which either may lag, whole answers and changes, earlier versions, answers that
 // are repeated, cut off or out of order, versions that go back, new configurations, restarts of the node, and
 // time. The model is explored breadth first, all steps in all orders up to a depth; nothing is random. After
-// each step the real Balancer is sent requests, and a lifecycleChecker checks what becomes of them.
+// each step the real Balancer is sent requests, and a lifecycleChecker checks what it does with them.
 
 // serverStatus is what discovery says of a server at some time.
 type serverStatus struct {
@@ -21,14 +21,14 @@
 	startedAt time.Duration
 }
 
-// initialStatus is what discovery says of each server at first. All starts have a time: an entry without one
-// that takes a server out may be about any start, and counts.
+// initialStatus is what discovery says of each server at first. It has a start time, as all later ones have: an entry out
+// of service without a start time may be about any incarnation, and counts.
 var initialStatus = serverStatus{state: StateInService, startedAt: restartInterval}
 
 // snapshot is what discovery says of all servers.
 type snapshot [lifecycleServers]serverStatus
 
-// serverChange is a change of one server that discovery tells.
+// serverChange is a change of one server that discovery reports.
 type serverChange struct {
 	server int // number of the server, from 1; 0: no change
 	kind   serverChangeKind
@@ -44,9 +44,10 @@
 	changeRestart
 )
 
-var serverChangeNames = [...]string{changeDrain: "drains", changeRemove: "is removed", changeReturn: "is in service again", changeRestart: "restarts"}
+var serverChangeNames = [...]string{
+	changeDrain: "drains", changeRemove: "is removed", changeReturn: "is in service again", changeRestart: "restarts"}
 
-// restartInterval is the time between two starts of a server, as lists tell it.
+// restartInterval is the time between two starts of a server, by the start times in lists.
 const restartInterval = time.Minute
 
 // with returns the snapshot after a change. It reports whether the change is possible.
@@ -90,16 +91,16 @@
 type stepKind uint8
 
 const (
-	stepWholeList           stepKind = iota // a whole answer that is no older than the last one
+	stepWholeList           stepKind = iota // a whole list that is no older than the last answer
 	stepChanges                             // changes since the last answer
-	stepRepeatedChanges                     // the last changes once more
+	stepRepeatedChanges                     // the last changes a second time
 	stepOutdatedList                        // a whole list of an earlier version
 	stepCutAnswer                           // the first entry of an incomplete answer
 	stepUnusableAnswer                      // all entries of an unusable answer
 	stepUnversionedEntries                  // entries of a later version, which is not known yet
 	stepFormerSourceEntries                 // entries of an answer of the other source, to a call from before the address change
-	stepLaggingList                         // the whole list of an earlier version, to a new call
-	stepVersionsRestart                     // the same, from a source that starts its versions anew
+	stepLaggingList                         // a whole list of an earlier version, in answer to a new call
+	stepVersionsRestart                     // a whole list from a source whose versions start at 1 again
 	stepAddressChange                       // a new configuration names the other source
 	stepReload                              // a new configuration names the same source
 	stepFailedCall                          // a call for the list fails
@@ -111,15 +112,18 @@
 )
 
 var stepNames = [...]string{
-	stepWholeList: "whole list", stepChanges: "changes up to", stepRepeatedChanges: "repeated changes up to", stepOutdatedList: "outdated list",
-	stepCutAnswer: "answer cut after its first entry", stepUnusableAnswer: "unusable answer",
-	stepUnversionedEntries: "entries with no version yet", stepFormerSourceEntries: "entries of the former source", stepLaggingList: "lagging whole list",
-	stepVersionsRestart: "whole list, versions restarted", stepAddressChange: "new address", stepReload: "the same address again", stepFailedCall: "failed call", stepRestart: "restart",
-	stepRestartWithOldList: "restart with an old list", stepShortWait: "short wait", stepLongWait: "long wait", stepConfirmationWait: "wait for confirmation",
+	stepWholeList: "whole list", stepChanges: "changes up to", stepRepeatedChanges: "repeated changes up to",
+	stepOutdatedList: "outdated list",
+	stepCutAnswer:    "answer cut after its first entry", stepUnusableAnswer: "unusable answer",
+	stepUnversionedEntries: "entries with no version yet", stepFormerSourceEntries: "entries of the former source",
+	stepLaggingList: "lagging whole list", stepVersionsRestart: "whole list, versions restarted",
+	stepAddressChange: "new address", stepReload: "the same address again", stepFailedCall: "failed call",
+	stepRestart: "restart", stepRestartWithOldList: "restart with an old list",
+	stepShortWait: "short wait", stepLongWait: "long wait", stepConfirmationWait: "wait for confirmation",
 }
 
-// step is an event that happens to a node. An answer tells what is at a position of the history; a change may
-// be made just before.
+// step is an event that happens to a node. An answer reports what discovery said at a position of the history; a change
+// may be made just before.
 type step struct {
 	kind     stepKind
 	position int
@@ -137,7 +141,7 @@
 	return text
 }
 
-// scenario limits what is explored.
+// scenario determines which steps are explored, and to which depth.
 type scenario struct {
 	name         string
 	onRequest    bool // nodes have to request the list
@@ -149,7 +153,7 @@
 	maxDepth     int
 }
 
-// lifecycleModel is discovery and what a node has learned of it, with the run of the real Balancer.
+// lifecycleModel is the state of discovery and of what a node has learned from it, with the run of the real Balancer.
 type lifecycleModel struct {
 	scenario
 	run             *lifecycleRun
@@ -174,7 +178,7 @@
 	return m
 }
 
-// perform makes a step.
+// perform carries out a step.
 func (m *lifecycleModel) perform(s step) {
 	if s.change.server > 0 {
 		next, _ := m.history[len(m.history)-1].with(s.change)
@@ -222,7 +226,7 @@
 	}
 }
 
-// origin returns the origin of what the current source tells of a position.
+// origin returns the origin of what the current source reports of a position.
 func (m *lifecycleModel) origin(position int) Origin {
 	return Origin{Source: SourceID(m.followed + 1), Version: m.sources[m.followed].version(position)}
 }
@@ -294,8 +298,8 @@
 	return all
 }
 
-// positions returns the positions of the history that a step may tell, and whether it may also come with a new
-// change. A step that tells nothing has one position, 0.
+// positions returns the positions of the history that a step may report, and whether it may also come with a new
+// change. A step that reports nothing has one position, 0.
 func (m *lifecycleModel) positions(kind stepKind) (first, last int, mayBeNew bool) {
 	const none = -1
 	current, latest := m.sources[m.followed].position, len(m.history)-1
@@ -335,7 +339,7 @@
 	return 0, 0, false
 }
 
-// stepsWithChange returns the steps of a kind that tell a new change.
+// stepsWithChange returns the steps of a kind that report a new change.
 func (m *lifecycleModel) stepsWithChange(kind stepKind) []step {
 	var all []step
 	latest := len(m.history) - 1
@@ -358,9 +362,9 @@
 // exploration explores the paths of a scenario.
 type exploration struct {
 	scenario
-	newMutation    func() mutation // returns a new mutation for each path
-	isEnough       func(violating []violatingPath) bool
-	withoutMerging bool // also continues paths that lead to equal states
+	newMutation    func() mutation                      // returns a new mutation for each path
+	isEnough       func(violating []violatingPath) bool // reports whether the exploration may stop
+	withoutMerging bool                                 // also continues paths that lead to equal states
 
 	paths     int // number of paths explored, each with requests after each step
 	states    int // number of states that were continued from
@@ -431,7 +435,7 @@
 	return m
 }
 
-// Changes that discovery tells in the scenarios.
+// Changes that discovery reports in the scenarios.
 var (
 	firstServerChanges    = []serverChange{{1, changeDrain}, {1, changeRemove}, {1, changeReturn}, {1, changeRestart}}
 	drainAndReturnChanges = []serverChange{{1, changeDrain}, {1, changeReturn}, {1, changeRestart}}
@@ -439,15 +443,18 @@
 	partialSteps          = []stepKind{stepOutdatedList, stepCutAnswer, stepUnusableAnswer, stepUnversionedEntries}
 )
 
-// scenarios are what is explored. Together they have all kinds of steps. Each is as deep as its time allows.
+// scenarios are the scenarios that the model explores. Together they have all kinds of steps. The running time limits
+// the depth of each.
 var scenarios = []scenario{
 	{
 		name: "one source", onRequest: true, changes: firstServerChanges, maxChanges: 3, maxDepth: 4,
-		steps: []stepKind{stepWholeList, stepChanges, stepRepeatedChanges, stepOutdatedList, stepCutAnswer, stepUnusableAnswer, stepLaggingList, stepVersionsRestart, stepShortWait, stepLongWait},
+		steps: []stepKind{stepWholeList, stepChanges, stepRepeatedChanges, stepOutdatedList, stepCutAnswer, stepUnusableAnswer,
+			stepLaggingList, stepVersionsRestart, stepShortWait, stepLongWait},
 	},
 	{
 		name: "one source, pushed, lists without draining servers", omitDraining: true, changes: firstServerChanges, maxChanges: 3, maxDepth: 4,
-		steps: []stepKind{stepWholeList, stepChanges, stepOutdatedList, stepUnusableAnswer, stepLaggingList, stepVersionsRestart, stepShortWait, stepLongWait},
+		steps: []stepKind{stepWholeList, stepChanges, stepOutdatedList, stepUnusableAnswer, stepLaggingList,
+			stepVersionsRestart, stepShortWait, stepLongWait},
 	},
 	{
 		name: "two sources", onRequest: true, changes: drainAndReturnChanges, maxChanges: 3, maxDepth: 6,
@@ -455,7 +462,8 @@
 	},
 	{
 		name: "two sources, partial answers", onRequest: true, changes: drainAndReturnChanges, maxChanges: 2, maxDepth: 5,
-		steps: append([]stepKind{stepWholeList, stepChanges, stepAddressChange, stepFormerSourceEntries, stepShortWait, stepLongWait}, partialSteps...),
+		steps: append([]stepKind{
+			stepWholeList, stepChanges, stepAddressChange, stepFormerSourceEntries, stepShortWait, stepLongWait}, partialSteps...),
 	},
 	{
 		name: "two servers", onRequest: true, changes: bothServersChanges, maxChanges: 2, maxDepth: 5,
@@ -463,16 +471,18 @@
 	},
 	{
 		name: "restarts, on request", onRequest: true, unconfirmed: true, changes: drainAndReturnChanges, maxChanges: 2, maxDepth: 5,
-		steps: []stepKind{stepWholeList, stepChanges, stepCutAnswer, stepAddressChange, stepFailedCall, stepRestart, stepRestartWithOldList, stepShortWait, stepConfirmationWait},
+		steps: []stepKind{stepWholeList, stepChanges, stepCutAnswer, stepAddressChange, stepFailedCall, stepRestart,
+			stepRestartWithOldList, stepShortWait, stepConfirmationWait},
 	},
 	{
 		name: "restarts, pushed", unconfirmed: true, changes: drainAndReturnChanges, maxChanges: 2, maxDepth: 5,
-		steps: []stepKind{stepWholeList, stepChanges, stepCutAnswer, stepAddressChange, stepFailedCall, stepRestart, stepRestartWithOldList, stepLongWait},
+		steps: []stepKind{stepWholeList, stepChanges, stepCutAnswer, stepAddressChange, stepFailedCall, stepRestart,
+			stepRestartWithOldList, stepLongWait},
 	},
 }
 
-// Guards the drain rule, and against servers that never get work again, under all that may happen to a node and
-// its list.
+// Guards against requests to servers out of service, and against servers that never get work again, under all that may
+// happen to a node and its list.
 func TestServerLifecyclesInAllOrdersOfEvents(t *testing.T) {
 	paths, states := 0, 0
 	for _, s := range scenarios {
@@ -483,7 +493,8 @@
 		}
 		found.explore()
 		paths, states = paths+found.paths, states+found.states
-		t.Logf("%s: %d paths of up to %d steps, over %d states, %v", s.name, found.paths, s.maxDepth, found.states, time.Since(began).Round(time.Millisecond))
+		t.Logf("%s: %d paths of up to %d steps, over %d states, %v",
+			s.name, found.paths, s.maxDepth, found.states, time.Since(began).Round(time.Millisecond))
 		for _, violating := range found.violating {
 			t.Errorf("%s: %v", s.name, violating)
 		}
--- a/policy/lifecycle_mutation_test.go
+++ b/policy/lifecycle_mutation_test.go
@@ -15,8 +15,8 @@
 	}}
 }
 
-// latestUpdateWins returns a mutation by which each list counts as the latest statement, as it did before there
-// were tombstones.
+// latestUpdateWins returns a mutation by which each list counts as the latest statement, as it would without
+// tombstones.
 func latestUpdateWins() mutation {
 	version := int64(0)
 	return changeEachUpdate(func(update *listUpdate) {
@@ -41,7 +41,7 @@
 	{"all sources are one", "two sources", func() mutation {
 		return changeEachUpdate(func(update *listUpdate) { update.origin.Source = 1 })
 	}, sentToOutOfService},
-	{"starts are not told apart", "two sources", func() mutation {
+	{"starts are not distinguished", "two sources", func() mutation {
 		return changeEachUpdate(func(update *listUpdate) {
 			for i := range update.entries {
 				update.entries[i].StartedAt = 0
@@ -116,12 +116,12 @@
 	}, notCancelledOutOfService},
 }
 
-// scenarioNamed returns the scenario of a name.
+// scenarioNamed returns the scenario with a name.
 func scenarioNamed(name string) scenario {
 	return scenarios[slices.IndexFunc(scenarios, func(s scenario) bool { return s.name == name })]
 }
 
-// Guards against a model that finds no violations, which would prove nothing.
+// Guards against a model that misses violations, and so proves nothing.
 func TestLifecycleModelFindsMutations(t *testing.T) {
 	for _, c := range lifecycleMutations {
 		finds := func(violating []violatingPath) bool {
--- a/policy/lifecycle_run_test.go
+++ b/policy/lifecycle_run_test.go
@@ -12,13 +12,13 @@
 	lifecycleServers = 2
 	lifecycleStartAt = time.Hour // start of the first process
 
-	// Times that pass in a step. The long one ends shortly before all sources must have caught up.
+	// The waits are the times that pass in a step. The long one ends shortly before all sources must have caught up.
 	shortWait        = time.Second
 	longWait         = maxReplicaLag - shortWait/2
 	confirmationWait = maxConfirmationWait - shortWait/2
 )
 
-// lifecycleAttempt is an attempt that a Balancer has begun.
+// lifecycleAttempt is an attempt that the Balancer has passed to Host.Send.
 type lifecycleAttempt struct {
 	request   RequestID
 	index     int
@@ -27,7 +27,7 @@
 	cancelled bool
 }
 
-// lifecycleHost is the Host of one Balancer. It keeps the attempts in flight and the timers.
+// lifecycleHost is the Host of one Balancer. It records the attempts in flight and the timers.
 type lifecycleHost struct {
 	attempts []*lifecycleAttempt
 	timers   []timer
@@ -80,7 +80,7 @@
 	return next, true
 }
 
-// The other actions of a Host are of no interest to the model.
+// The model ignores the other actions of a Host.
 
 func (h *lifecycleHost) SetWriteDeadline(RequestID, time.Duration) {}
 func (h *lifecycleHost) Cancel(RequestID, int)                     {}
@@ -90,14 +90,14 @@
 func (h *lifecycleHost) StartCall(Call)                            {}
 func (h *lifecycleHost) CancelCall(CallID)                         {}
 
-// mutation stands for a fault of the code, to show that the model finds it.
+// mutation is a simulated fault of the code, which the model has to find.
 type mutation struct {
 	changeUpdate        func(update listUpdate) listUpdate // changes an update on its way to the Balancer; may be nil
 	ignoresCancelUnsent bool                               // the host does not carry out CancelUnsent
 }
 
-// lifecycleRun runs the process of a node, and its successors, with updates of a list. It sends requests after
-// each of them and collects the violations of rules.
+// lifecycleRun runs the process of a node, and those that replace it at restarts, with updates of a list. It sends
+// requests after each update and collects the violations of rules.
 type lifecycleRun struct {
 	settings     Settings
 	mutation     mutation
@@ -121,7 +121,7 @@
 	return settings
 }
 
-// newLifecycleRun returns a run with no process yet; restart starts one.
+// newLifecycleRun returns a run with no process yet; restart starts the first one.
 func newLifecycleRun(onRequest bool, mutation mutation) *lifecycleRun {
 	return &lifecycleRun{settings: lifecycleSettings(onRequest), mutation: mutation, now: lifecycleStartAt}
 }
@@ -140,7 +140,7 @@
 	r.deliver(cached)
 }
 
-// deliver passes an update on and checks what the Balancer does with it.
+// deliver passes an update to the Balancer and checks what the Balancer does with it.
 func (r *lifecycleRun) deliver(update listUpdate) {
 	r.safety.apply(r.now, update)
 	r.liveness.apply(r.now, update)
@@ -188,8 +188,8 @@
 	}
 }
 
-// mustGetWork reports whether a server has to get work, and which incarnation of it. Where the checkers differ
-// it need not.
+// mustGetWork reports whether a server has to get work, and which incarnation of it. Where the checkers differ, it does
+// not have to.
 func (r *lifecycleRun) mustGetWork(server ServerID) (startedAt time.Duration, required bool) {
 	startedAt, required = r.liveness.mustGetWork(r.now, server)
 	safetyStartedAt, mayBeRequired := r.safety.mustGetWork(r.now, server)
@@ -244,8 +244,8 @@
 	r.violations = append(r.violations, ruleViolation{kind: kind, at: r.now - lifecycleStartAt, server: server, startedAt: startedAt})
 }
 
-// writeState writes all that later results depend on: two runs with equal states continue alike. It leaves out
-// what the Balancer learns of servers by their outcomes, as these are all alike.
+// writeState writes all that later results depend on: two runs with equal states continue in the same way. It leaves out
+// what the Balancer learns of servers by outcomes, as all outcomes are alike.
 func (r *lifecycleRun) writeState(text *strings.Builder) {
 	b := r.balancer
 	fmt.Fprint(text, r.now, b.listOrigin, b.sourceFollowedSince, b.readyReported, b.serving)
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -9,30 +9,30 @@
 	"time"
 )
 
-// This file simulates a whole fleet on a clock of its own: many nodes with the real policy, servers with bounded
+// This file simulates a whole fleet on a simulated clock: many nodes with the real Balancer, servers with bounded
 // queues that become slow under overload, and clients that retry after a refusal.
 
 // fleetScenario holds the parameters of a simulation.
 type fleetScenario struct {
-	nodes, servers      int
-	loadShare           float64 // mean load as a share of the servers' capacity
-	burstFactor         float64 // multiplies the load between burstFrom and burstTo
-	burstFrom           time.Duration
-	burstTo             time.Duration
-	duration            time.Duration
-	retries             int     // most retries of a client after refusals
-	heedRetryAfterShare float64 // share of the clients that wait for the retry-after of a refusal
+	nodes, servers       int
+	loadShare            float64 // mean load as a share of the servers' capacity
+	burstFactor          float64 // multiplies the load between burstFrom and burstTo
+	burstFrom            time.Duration
+	burstTo              time.Duration
+	duration             time.Duration
+	retries              int     // largest number of retries of a client after refusals
+	honorRetryAfterShare float64 // share of the clients that wait for the retry-after of a refusal
 }
 
 // simulatedServer serves its queue in order, one request at a time on each core.
 type simulatedServer struct {
 	cores, maxQueue    int
-	speed              float64
+	speed              float64 // work that a core does per second
 	busyCores          int
 	queue              []*simulatedAttempt
-	slowdown           float64 // factor on service times, above 1 after an overload
-	overloadedSince    time.Duration
-	lightlyLoadedSince time.Duration
+	slowdown           float64       // factor on service times, above 1 after an overload
+	overloadedSince    time.Duration // start of the present overload; -1: the server is not overloaded
+	lightlyLoadedSince time.Duration // start of the present light load; -1: the load is not light
 }
 
 // simulatedAttempt is an attempt that a node has sent.
@@ -49,15 +49,15 @@
 
 // simulatedClient is a client's request over all of its tries.
 type simulatedClient struct {
-	class           int
-	requestedAt     time.Duration
-	tries           int
-	heedsRetryAfter bool
-	workSeconds     float64
-	deadline        time.Duration
+	class            int
+	requestedAt      time.Duration
+	tries            int
+	honorsRetryAfter bool
+	workSeconds      float64
+	deadline         time.Duration
 }
 
-// simulatedNode is one node: its policy, and a Host that carries out its actions.
+// simulatedNode is one node: its Balancer, and a Host that carries out the Balancer's actions.
 type simulatedNode struct {
 	fleet     *fleetSimulation
 	nodeIndex int
@@ -65,7 +65,7 @@
 	nextID    RequestID
 	clients   map[RequestID]*simulatedClient
 	attempts  map[RequestID][]*simulatedAttempt
-	actions   []func()
+	actions   []func() // actions of the Balancer that are not carried out yet
 }
 
 // simulatedEvent is an action at a point in simulated time.
@@ -108,7 +108,7 @@
 
 const simulationStart = time.Hour
 
-// schedule runs do at a time, or now if that is past.
+// schedule has do run at a time, or now if that time is past.
 func (f *fleetSimulation) schedule(at time.Duration, do func()) {
 	f.sequence++
 	heap.Push(&f.events, simulatedEvent{max(at, f.now), f.sequence, do})
@@ -137,8 +137,8 @@
 // firstClassShare is the share of the requests that are of the first class.
 const firstClassShare = 0.78
 
-// run runs the simulation and returns the value that is served within its latency target, as a share of the value
-// of all requests.
+// run runs a simulation. It returns the value that is served within its latency target, as a share of the value of all
+// requests, and the simulation at its end.
 func (scenario fleetScenario) run(t *testing.T, seed uint64) (servedShare float64, simulation *fleetSimulation) {
 	t.Helper()
 	simulation = &fleetSimulation{
@@ -203,7 +203,7 @@
 	return served / requested, simulation
 }
 
-// scheduleArrival has new clients arrive at a node, at baseRate requests per second and more during the burst.
+// scheduleArrival has new clients arrive at a node, at baseRate requests per second and more in the burst.
 func (f *fleetSimulation) scheduleArrival(node *simulatedNode, baseRate float64) {
 	rate := baseRate
 	elapsed := f.now - simulationStart
@@ -215,7 +215,7 @@
 		if f.now-simulationStart >= f.scenario.duration {
 			return
 		}
-		client := &simulatedClient{requestedAt: f.now, heedsRetryAfter: f.rng.Float64() < f.scenario.heedRetryAfterShare}
+		client := &simulatedClient{requestedAt: f.now, honorsRetryAfter: f.rng.Float64() < f.scenario.honorRetryAfterShare}
 		if f.rng.Float64() >= firstClassShare {
 			client.class = 1
 		}
@@ -253,7 +253,7 @@
 	b.ClientDisconnected(n.fleet.now, id)
 }
 
-// deliver delivers an event to the policy and then carries out its actions.
+// deliver delivers an event to the Balancer and then carries out the Balancer's actions.
 func (n *simulatedNode) deliver(do func(b *Balancer)) {
 	do(n.balancer)
 	for len(n.actions) > 0 {
@@ -293,7 +293,7 @@
 		return
 	}
 	backoff := time.Duration((0.02 + 0.14*f.rng.Float64()) * float64(time.Second) * float64(int(1)<<(client.tries-1)))
-	if client.heedsRetryAfter {
+	if client.honorsRetryAfter {
 		backoff = max(backoff, wait)
 	}
 	f.schedule(f.now+backoff, func() { f.startTry(n, client) })
@@ -315,12 +315,12 @@
 // SetWriteDeadline implements Host.
 func (n *simulatedNode) SetWriteDeadline(RequestID, time.Duration) {}
 
-// Cancel implements Host; the server continues its work.
+// Cancel implements Host. The server continues its work on the attempt.
 func (n *simulatedNode) Cancel(id RequestID, index int) {
 	n.actions = append(n.actions, func() { n.deliverOutcome(n.balancer, n.attempts[id][index], Cancelled) })
 }
 
-// CancelUnsent implements Host; no attempt is unsent here, because each is written at once.
+// CancelUnsent implements Host. It does nothing, because each attempt is written at once.
 func (n *simulatedNode) CancelUnsent(RequestID, int) {}
 
 // Refuse implements Host.
@@ -414,7 +414,7 @@
 func TestFleetServesMostThroughABurst(t *testing.T) {
 	scenario := fleetScenario{
 		nodes: 150, servers: 80, loadShare: 0.75, burstFactor: 1.5, burstFrom: 6 * time.Second, burstTo: 10 * time.Second,
-		duration: 18 * time.Second, retries: 2, heedRetryAfterShare: 0.35,
+		duration: 18 * time.Second, retries: 2, honorRetryAfterShare: 0.35,
 	}
 	sum := 0.0
 	const seeds = 2
--- a/policy/policy_test.go
+++ b/policy/policy_test.go
@@ -16,24 +16,24 @@
 // fakeHost records the actions of one Balancer.
 type fakeHost struct {
 	sends          []sentAttempt
-	cancelCount    int                         // number of calls of Cancel
+	cancelCount    int                         // number of calls to Cancel
 	unsentCancels  []attemptRef                // attempts passed to CancelUnsent
 	refused        map[RequestID]time.Duration // retry-after of each refused request
 	writeDeadlines map[RequestID]time.Duration
 	failed         map[RequestID]bool
 	timers         []timer
-	callCount      int // number of calls of StartCall
+	callCount      int // number of calls to StartCall
 	calls          []Call
-	endedCalls     []CallID
-	readyCount     int      // number of calls of MarkReady
+	cancelledCalls []CallID
+	readyCount     int      // number of calls to MarkReady
 	actions        []string // all actions as text, in order
 }
 
-// sentAttempt is a call of Host.Send.
+// sentAttempt is an attempt that the Balancer passed to Host.Send.
 type sentAttempt struct {
 	id            RequestID
 	server        ServerID
-	writeDeadline time.Duration // write deadline set by then
+	writeDeadline time.Duration // write deadline that was set before; 0: none
 }
 
 // attemptRef identifies an attempt of a request.
@@ -42,7 +42,7 @@
 	attempt int
 }
 
-// timer is a call of Host.SetTimer.
+// timer is a timer that the Balancer has set by Host.SetTimer.
 type timer struct {
 	at    time.Duration
 	token uint64
@@ -101,7 +101,7 @@
 
 func (h *fakeHost) CancelCall(id CallID) {
 	h.record("cancel call %d", id)
-	h.endedCalls = append(h.endedCalls, id)
+	h.cancelledCalls = append(h.cancelledCalls, id)
 }
 
 // testSettings returns settings with an idempotent class, one that is idempotent by key and a non-idempotent one,
@@ -129,7 +129,7 @@
 	outcomesGiven map[RequestID]int // number of outcomes given to the Balancer, by request
 }
 
-// newRunner returns a runner whose Balancer has got a list of as many servers in service.
+// newRunner returns a runner whose node has a list of the given number of servers, all in service.
 func newRunner(t *testing.T, settings Settings, servers int) *runner {
 	t.Helper()
 	host := newHost()
@@ -179,7 +179,7 @@
 		RequestDone: status == OK})
 }
 
-// advance moves the clock on and fires the timers that fall due.
+// advance advances the clock and fires the timers that are due.
 func (r *runner) advance(duration time.Duration) {
 	for end := r.now + duration; ; {
 		due := -1
@@ -199,7 +199,7 @@
 	}
 }
 
-// serveRequests sends n requests of a class one after another and has each answered with the same latency.
+// serveRequests sends n requests of a class one after another. Each is answered with the same latency.
 func (r *runner) serveRequests(n, class int, latency time.Duration) {
 	for range n {
 		id := r.sendRequest(class)
@@ -447,7 +447,7 @@
 }
 
 // An attempt that still waits for a connection to a server that drains or is gone is cancelled and retried at
-// another server, also where the site does not permit cancelling.
+// another server, also where the deployment does not permit cancelling.
 func TestUnsentAttemptsAtLeavingServersAreCancelled(t *testing.T) {
 	for _, removeServer := range []func(r *runner){
 		func(r *runner) {
@@ -474,7 +474,8 @@
 	}
 }
 
-// Attempts are cancelled when the client disconnects; where the site does not permit that, only unsent ones are.
+// Attempts are cancelled when the client disconnects; where the deployment does not permit that, only unsent ones
+// are.
 func TestAttemptsOfADisconnectedClientAreCancelled(t *testing.T) {
 	for _, allowed := range []bool{false, true} {
 		settings := testSettings()
@@ -488,7 +489,7 @@
 	}
 }
 
-// Retries and queued requests are not sent to a server after its drain notice either.
+// Guards against retries and queued requests that are sent to a server after its drain notice.
 func TestNothingIsSentAfterADrainNotice(t *testing.T) {
 	settings := testSettings()
 	r := newRunner(t, settings, 2)
@@ -547,7 +548,7 @@
 			warmServerWork := r.b.demand.PerSecond(r.now) / 10 * r.b.settings.Rules.OverloadDuration.Seconds()
 			s := r.b.servers[1]
 			work, sends := 0.0, 0
-			burst := func() { // sends as much as maySend permits
+			burst := func() { // sends as many requests as maySend permits
 				for range 1000 {
 					r.lastID++
 					req := r.b.addRequest(Request{ID: r.lastID, TimeLeft: time.Second}, &r.b.classes[0])
@@ -701,8 +702,8 @@
 }
 
 // Under overload not every request may become late: a request past its latency target queues with the value of a
-// late answer, behind those that can still be in time.
-func TestLateRequestsQueueBehindTimelyOnes(t *testing.T) {
+// late answer, after those that can still be in time.
+func TestLateRequestsQueueAfterTimelyOnes(t *testing.T) {
 	settings := testSettings()
 	for i := range settings.Classes {
 		settings.Classes[i].LateValueShare = 0.5
@@ -723,7 +724,7 @@
 }
 
 // Requests of one tenant beyond its quota must not displace those of the others.
-func TestOverQuotaRequestsQueueBehindTheRest(t *testing.T) {
+func TestOverQuotaRequestsQueueAfterTheOthers(t *testing.T) {
 	settings := testSettings()
 	settings.Tenants = []Tenant{{QuotaPerSecond: 2}, {QuotaPerSecond: 100}}
 	settings.OverQuotaValueShare = 0.05
--- a/policy/scale_subset_test.go
+++ b/policy/scale_subset_test.go
@@ -8,7 +8,7 @@
 	"otterstep/policy"
 )
 
-// The tests in this file check what a bounded subset of servers per node is for: bounded costs of requests, few
+// The tests in this file check the purpose of a bounded subset of servers per node: bounded costs of requests, few
 // connections and little memory. They do not depend on how the subset is chosen, and log their figures for
 // docs/CAPACITY.md.
 
@@ -34,7 +34,7 @@
 	}
 }
 
-// Guards against the same in a fleet whose number of nodes stays the same.
+// Guards against a cost of requests that grows with the number of servers while the number of nodes stays the same.
 func TestScaleRequestCostIsBoundedForOneFleet(t *testing.T) {
 	const servers = 500
 	if ratio := requestCostRatio(t, targetNodes, servers); ratio > 2 {
@@ -58,7 +58,7 @@
 	}
 }
 
-// Guards against memory for statistics of servers outside the subset: for these a node needs the list's entry alone.
+// Guards against memory for statistics of servers outside the subset: of these a node needs only the entry of the list.
 func TestScaleMemoryPerServerFallsWithTheListSize(t *testing.T) {
 	few, all := heapBytesPerServer(t, 200), heapBytesPerServer(t, targetServers)
 	t.Logf("%.0f B per server with 200 servers, %.0f B with %d", few, all, targetServers)
@@ -67,7 +67,7 @@
 	}
 }
 
-// Guards against a policy that needs more memory than targetMemoryBytes.
+// Guards against a Balancer that needs more memory than targetMemoryBytes.
 func TestScaleStateFitsTheControlBudget(t *testing.T) {
 	settings, entries := scaleSettings(targetNodes, targetTenants), scaleServers(targetServers)
 	heldBytes := heapBytesOf(func() *scaleNode {
@@ -79,7 +79,7 @@
 	runtime.KeepAlive(entries)
 	t.Logf("%d servers and %d tenants need %.1f MiB", targetServers, targetTenants, heldBytes/(1<<20))
 	if heldBytes > targetMemoryBytes {
-		t.Errorf("the policy needs %.1f MiB for %d servers and %d tenants, want %d MiB at most",
+		t.Errorf("the Balancer needs %.1f MiB for %d servers and %d tenants, want %d MiB at most",
 			heldBytes/(1<<20), targetServers, targetTenants, targetMemoryBytes>>20)
 	}
 }
--- a/policy/scale_test.go
+++ b/policy/scale_test.go
@@ -48,7 +48,7 @@
 	return max(1, servers*targetNodes/targetServers)
 }
 
-// timerEvent is a timer that the policy has set.
+// timerEvent is a timer that the Balancer has set.
 type timerEvent struct {
 	at    time.Duration
 	token uint64
@@ -76,7 +76,7 @@
 	sentAt  time.Duration
 }
 
-// scaleNode is one node's policy on a simulated clock. Its servers answer each attempt after serverLatency. It
+// scaleNode is the Balancer of one node on a simulated clock. Its servers answer each attempt after serverLatency. It
 // implements policy.Host.
 type scaleNode struct {
 	balancer         *policy.Balancer
@@ -89,7 +89,7 @@
 	refused          int
 }
 
-// newScaleNode returns a node that knows no server yet.
+// newScaleNode returns a node that has no list yet.
 func newScaleNode(tb testing.TB, settings policy.Settings) *scaleNode {
 	tb.Helper()
 	node := &scaleNode{
@@ -105,7 +105,7 @@
 	return node
 }
 
-// listedScaleNode returns a node that knows the servers.
+// listedScaleNode returns a node of a fleet that has a list of the given number of servers.
 func listedScaleNode(tb testing.TB, nodes, servers int) *scaleNode {
 	tb.Helper()
 	node := newScaleNode(tb, scaleSettings(nodes, 0))
@@ -113,7 +113,8 @@
 	return node
 }
 
-// warmedUpScaleNode returns a node that knows the servers and has served warmUpRequests.
+// warmedUpScaleNode returns a node of a fleet that has a list of the given number of servers and has served
+// warmUpRequests.
 func warmedUpScaleNode(tb testing.TB, nodes, servers int) *scaleNode {
 	tb.Helper()
 	node := listedScaleNode(tb, nodes, servers)
@@ -138,7 +139,7 @@
 }
 
 // scaleServer returns the list's entry for a server, which is warm and in service. Servers are spread over the zones,
-// and their ids over the whole range, because ids are hashes in a real node.
+// and their IDs over the whole range, because IDs are hashes in a real node.
 func scaleServer(index int) policy.Entry {
 	return policy.Entry{
 		Server: policy.ServerID(uint64(index+1) * 0x9e3779b97f4a7c15),
@@ -160,11 +161,11 @@
 
 // serve sends requests to the node at the target's rate, and delivers the outcomes and timers between them.
 func (n *scaleNode) serve(requests int) {
-	n.serveTenant(requests, 0)
+	n.serveTenants(requests, 0)
 }
 
-// serveTenant does the same, with each request from the next tenant, beginning with first.
-func (n *scaleNode) serveTenant(requests, first int) {
+// serveTenants does the same as serve, with each request from the next tenant, beginning with first.
+func (n *scaleNode) serveTenants(requests, first int) {
 	for i := range requests {
 		n.advance(arrivalGap)
 		n.lastID++
@@ -277,8 +278,8 @@
 	return float64(after.TotalAlloc - before.TotalAlloc)
 }
 
-// threadCPUTime returns the processor time that this thread has used, which leaves out the time in which others held
-// the processor. The caller has to lock the thread.
+// threadCPUTime returns the processor time that this thread has used, which leaves out the time in which other threads
+// held the processor. The caller has to lock the thread.
 func threadCPUTime() time.Duration {
 	var used unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &used); err != nil {
@@ -287,7 +288,7 @@
 	return time.Duration(used.Nano())
 }
 
-// costRounds is the number of times that two costs are measured in turn; their ratio is the median of all.
+// costRounds is the number of times that two costs are measured in turn; the result is the median of their ratios.
 const costRounds = 7
 
 // costRatio returns the processor time of large as a multiple of that of small. Both are measured right after one
@@ -297,7 +298,7 @@
 	defer runtime.UnlockOSThread()
 	ratios := make([]float64, costRounds)
 	for i := range ratios {
-		runtime.GC() // so that this thread does not spend time on the garbage of others
+		runtime.GC() // so that this thread does not spend time on collecting earlier garbage
 		start := threadCPUTime()
 		small()
 		middle := threadCPUTime()
@@ -307,7 +308,7 @@
 	return median(ratios)
 }
 
-// median returns the median, or the higher of the two middle values.
+// median returns the median, or the higher of the two middle values of an even number.
 func median[T cmp.Ordered](values []T) T {
 	sorted := slices.Sorted(slices.Values(values))
 	return sorted[len(sorted)/2]
@@ -345,8 +346,9 @@
 	})
 }
 
-// BenchmarkScaleRequestTargetNodes measures the same in a fleet with the target's number of nodes for each number of
-// servers; where nodes outnumber servers, other rules hold for load shedding and for the choice of servers.
+// BenchmarkScaleRequestTargetNodes measures a request with its outcome and the timers that are due, in a fleet with the
+// target's number of nodes for each number of servers; where nodes outnumber servers, other rules hold for load shedding
+// and for the choice of servers.
 func BenchmarkScaleRequestTargetNodes(b *testing.B) {
 	runForEachServerCount(b, func(b *testing.B, servers int) {
 		node := warmedUpScaleNode(b, targetNodes, servers)
@@ -369,7 +371,8 @@
 	})
 }
 
-// BenchmarkScaleSubsetChange measures the same for servers that the node has sent to, so that its subset changes.
+// BenchmarkScaleSubsetChange measures a list change of one entry, of a server that the node has sent to, so that its
+// subset changes.
 func BenchmarkScaleSubsetChange(b *testing.B) {
 	runForEachServerCount(b, func(b *testing.B, servers int) {
 		node := warmedUpScaleNode(b, nodesForServers(servers), servers)
@@ -380,7 +383,8 @@
 			}
 		}
 		for i := 0; b.Loop(); i++ {
-			node.changeOneEntry(triedServers[i/2%len(triedServers)], []policy.ServerState{policy.StateDraining, policy.StateInService}[i%2])
+			node.changeOneEntry(triedServers[i/2%len(triedServers)],
+				[]policy.ServerState{policy.StateDraining, policy.StateInService}[i%2])
 		}
 	})
 }
@@ -432,7 +436,7 @@
 			node.balancer.ListUpdated(node.now, policy.ListWhole, scaleServers(servers))
 			node.serve(warmUpRequests)
 			for first := 0; b.Loop(); first = (first + requestsPerIteration) % (tenants - requestsPerIteration) {
-				node.serveTenant(requestsPerIteration, first)
+				node.serveTenants(requestsPerIteration, first)
 			}
 			reportRequests(b)
 			b.ReportMetric((heldBytes+settingsBytes)/float64(tenants), "heap-B/tenant")
@@ -442,7 +446,8 @@
 
 // ---- tests
 
-// Guards against list changes whose garbage grows with the size of the list: at the target a node hears of many changes.
+// Guards against list changes whose garbage grows with the size of the list: at the target a node is notified of
+// many changes.
 func TestScaleChangeAllocatesTheSameAtEachSize(t *testing.T) {
 	const changes = 32
 	perChange := func(servers int) float64 {
@@ -474,7 +479,7 @@
 	}
 }
 
-// Guards against a node that builds its servers anew for a whole list that changes nothing.
+// Guards against a node that allocates its servers again for a whole list that changes nothing.
 func TestScaleWholeListAllocatesLessThanTheFirst(t *testing.T) {
 	entries := scaleServers(baseServers)
 	node := newScaleNode(t, scaleSettings(nodesForServers(baseServers), 0))
@@ -540,7 +545,7 @@
 		node.serve(warmUpRequests)
 		first := 0
 		return func() {
-			node.serveTenant(200, first)
+			node.serveTenants(200, first)
 			first = (first + 200) % (tenants - 200)
 		}
 	}
@@ -552,7 +557,7 @@
 // Guards against a cost of whole lists that grows with the square of their size. It may be more than proportional to
 // the size where the list no longer fits into the processor's caches.
 func TestScaleWholeListCostIsNotQuadratic(t *testing.T) {
-	const times = 8
+	const sizeFactor = 8
 	list := func(servers, repeats int) func() {
 		entries := scaleServers(servers)
 		node := listedScaleNode(t, nodesForServers(servers), servers)
@@ -563,7 +568,7 @@
 		}
 	}
 	// The number of entries is the same in several small lists and in a large one. A quadratic cost gives a ratio of 8.
-	if ratio := costRatio(list(baseServers, times), list(baseServers*times, 1)); ratio > 5 {
-		t.Errorf("an entry costs %.1f times as much in a list that is %d times as long", ratio, times)
+	if ratio := costRatio(list(baseServers, sizeFactor), list(baseServers*sizeFactor, 1)); ratio > 5 {
+		t.Errorf("an entry costs %.1f times as much in a list that is %d times as long", ratio, sizeFactor)
 	}
 }
--- a/policy/subset_test.go
+++ b/policy/subset_test.go
@@ -40,7 +40,7 @@
 	return settings
 }
 
-// subsetIDs returns the ids of the servers in the node's subset, sorted.
+// subsetIDs returns the IDs of the servers in the node's subset, sorted.
 func (r *runner) subsetIDs() []ServerID {
 	var ids []ServerID
 	for _, s := range r.b.subset {
@@ -50,7 +50,7 @@
 	return ids
 }
 
-// nodesByServer counts the nodes that have each server in their subset.
+// nodesByServer returns the number of nodes that have a server in their subset, by server.
 func nodesByServer(fleet []*runner) map[ServerID]int {
 	count := map[ServerID]int{}
 	for _, r := range fleet {
@@ -166,8 +166,8 @@
 	}
 }
 
-// sendUntilRefused sends a request in each step of time and reports whether one is refused, at which it stops.
-// Attempts at servers that are down fail to connect; the others succeed.
+// sendUntilRefused sends requests, one in each step of time, until one is refused, and reports whether one is. Attempts
+// at servers that are down fail to connect; the others succeed.
 func (r *runner) sendUntilRefused(step time.Duration, isDown func(ServerID) bool) (refused bool) {
 	for range 4000 {
 		id := r.sendRequest(0)
@@ -282,7 +282,7 @@
 	}
 }
 
-// Guards against nodes without servers where all servers are in one cell, so that they have the same nodes.
+// Guards against nodes without servers where all servers are in one cell, and so in the subsets of the same nodes.
 func TestSingleCellLeavesNoNodeWithoutServers(t *testing.T) {
 	list := inServiceEntries(1, 180)
 	for i := range list {
--- a/policy/tombstone_faults_test.go
+++ b/policy/tombstone_faults_test.go
@@ -13,7 +13,7 @@
 	r.b.ListUpdatedFrom(r.now, Origin{Source: source, Version: version}, kind, entries)
 }
 
-// incarnation returns the entry of a server with the given start.
+// incarnation returns the entry of a server with the given state and start.
 func incarnation(server ServerID, state ServerState, startedAt time.Duration) Entry {
 	return Entry{Server: server, State: state, Weight: 1, StartedAt: startedAt}
 }
@@ -24,7 +24,7 @@
 	return isListed && entry.State == StateInService
 }
 
-// newTwoServerRunner returns a node whose clock is far from 0, with two servers that firstSource lists at
+// newTwoServerRunner returns a runner whose clock is far from 0, for a node with two servers that firstSource lists at
 // version 10. Server 1 has the given start.
 func newTwoServerRunner(t *testing.T, startedAt time.Duration) *runner {
 	t.Helper()
@@ -34,15 +34,15 @@
 	return r
 }
 
-// Guards the drain rule: a source that tells a drain may date the start of the server differently from a
-// replica that lags, as 0 for long ago or by a wall clock that was stepped back. The drain ends the known
-// incarnation all the same.
+// Guards against requests to draining servers: a source that reports a drain may give another start of the server than a
+// replica that lags, such as 0 for long ago or a time by a wall clock that was stepped back. The drain ends the known
+// incarnation nevertheless.
 func TestStaleEntryWithALaterStartDoesNotUndoADrain(t *testing.T) {
 	for name, startedAt := range map[string]time.Duration{
-		"long ago":                   0,
-		"by a clock stepped back":    20 * time.Minute,
-		"as before":                  30 * time.Minute,
-		"anew, and the clock is off": 40 * time.Minute,
+		"long ago":                0,
+		"by a clock stepped back": 20 * time.Minute,
+		"as before":               30 * time.Minute,
+		"after a restart, and the clock is wrong": 40 * time.Minute,
 	} {
 		for _, state := range []ServerState{StateDraining, StateGone} {
 			r := newTwoServerRunner(t, 30*time.Minute)
@@ -50,14 +50,14 @@
 			r.now += time.Second
 			r.deliverListFrom(firstSource, 10, ListWhole, incarnation(1, StateInService, 30*time.Minute), incarnation(2, StateInService, 0))
 			if r.inService(1) {
-				t.Errorf("%s, state %d: an outdated list puts the server into service again", name, state)
+				t.Errorf("start %s, state %d: an outdated list puts the server into service again", name, state)
 			}
 		}
 	}
 }
 
-// Guards the drain rule: another source may date the start of the same incarnation as long ago. A server that
-// it takes out of service is out.
+// Guards against requests to draining servers: another source may give 0, for long ago, as the start of the same
+// incarnation. A server that it reports out of service is out of service.
 func TestDrainByAnotherSourceThatDatesTheStartAsLongAgoCounts(t *testing.T) {
 	for name, kind := range map[string]ListKind{"whole list": ListWhole, "changes": ListChanges, "partial answer": ListPartial} {
 		r := newTwoServerRunner(t, 30*time.Minute)
@@ -70,7 +70,7 @@
 	}
 }
 
-// Guards against servers that stay out after a whole list that is empty by mistake, once the correct list of
+// Guards against servers that stay out of service after a whole list that is empty by mistake, once the correct list of
 // the same version has come.
 func TestCorrectListAfterAnEmptyOneOfTheSameVersionServes(t *testing.T) {
 	r := newTwoServerRunner(t, 0)
@@ -86,9 +86,8 @@
 	}
 }
 
-// Guards against a server that gets no work for ever. The current source has listed it in service for longer
-// than a replica may lag, and its versions go back now and then, as behind an address that several replicas
-// share.
+// Guards against a server that is held for ever. The current source has listed it in service for longer than a replica
+// may lag, and its versions go back now and then, as with an address that several replicas share.
 func TestServerIsNotHeldForEverWhileVersionsGoBack(t *testing.T) {
 	r := newTwoServerRunner(t, 0)
 	r.deliverListFrom(firstSource, 11, ListChanges, incarnation(1, StateDraining, 0))
@@ -105,7 +104,7 @@
 	}
 }
 
-// Guards memory against any number of tombstones, whatever discovery says.
+// Guards against tombstones that take unbounded memory, whatever discovery reports.
 func TestTombstonesAreBounded(t *testing.T) {
 	r := newTwoServerRunner(t, 0)
 	maxCount := 0
@@ -122,7 +121,7 @@
 	}
 }
 
-// Guards against changes that cost more than in proportion to their entries while servers are held.
+// Guards against changes whose cost grows faster than the number of their entries while servers are held.
 func TestCostOfChangesWhileServersAreHeld(t *testing.T) {
 	cost := func(servers int) time.Duration {
 		r := newTwoServerRunner(t, 0)
@@ -147,12 +146,12 @@
 	}
 }
 
-// Guards the drain rule: changes since the version that took a server out say nothing about it, also where two
-// contents had the same version.
+// Guards against requests to draining servers: changes since the version that took a server out of service say nothing
+// about it, also where two different lists had the same version.
 func TestChangesSinceALaterVersionDoNotUndoANotice(t *testing.T) {
 	for name, c := range map[string]struct {
-		version int64 // version of the partial answer that takes the server out, where the node has version 10
-		back    bool  // changes from version 10 to 12 that do not name the server put it back
+		version       int64 // version of the partial answer that takes the server out, where the node has version 10
+		wantInService bool  // changes from version 10 to 12 that do not name the server put it back
 	}{
 		"an earlier version": {9, true},
 		"the same version":   {10, false},
@@ -163,8 +162,8 @@
 		if r.inService(1) {
 			t.Errorf("%s: the partial answer does not take the server out of service", name)
 		}
-		if r.deliverListFrom(firstSource, 12, ListChanges); r.inService(1) != c.back {
-			t.Errorf("%s: in service %v after changes that do not name the server, want %v", name, r.inService(1), c.back)
+		if r.deliverListFrom(firstSource, 12, ListChanges); r.inService(1) != c.wantInService {
+			t.Errorf("%s: in service %v after changes that do not name the server, want %v", name, r.inService(1), c.wantInService)
 		}
 	}
 }
