--- a/policy/calls_test.go
+++ b/policy/calls_test.go
@@ -138,7 +138,7 @@
 
 // Guards against requests to servers out of service after several failures in a row: the node has to know a change
 // maxListAge after its last answer, whenever its watch broke and however often calls have failed since.
-func TestCallsThatFailInARowAreMadeBeforeTheListIsDue(t *testing.T) {
+func TestCallsThatFailInARowAreMadeBeforeTheListDeadline(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, nodes int, seed uint64) {
 		for _, broken := range []struct {
 			kind  ListKind
@@ -164,7 +164,7 @@
 
 // Guards against requests to servers out of service after a reload: the node has to know the list of the new address
 // within maxAddressChangeDelay.
-func TestCallsToAnotherAddressAreMadeBeforeItsListIsDue(t *testing.T) {
+func TestCallsToAnotherAddressAreMadeBeforeTheListDeadline(t *testing.T) {
 	forEachFleetSize(t, func(t *testing.T, nodes int, seed uint64) {
 		r := newOnRequestRunner(t, nodes, seed, true)
 		r.awaitNextCall(r.now + 7*time.Second)
@@ -233,7 +233,7 @@
 }
 
 // Guards against waiting for an answer that arrives too slowly: it is late like any other.
-func TestAnswerThatTricklesIsLate(t *testing.T) {
+func TestAnswerThatArrivesTooSlowlyIsLate(t *testing.T) {
 	r := newPollingRunner(t, false, 1, 1)
 	calls, id := r.host.callCount, r.latestCallID()
 	for i := range int64(40) {
--- a/policy/clock_test.go
+++ b/policy/clock_test.go
@@ -8,7 +8,7 @@
 // Guards slow start and breakers against a wall clock that was stepped after this node read its own. A server whose
 // start seems to be in the future must not stay cold until then, with a breaker that no failure opens. A server whose
 // start seems to be long past must not count as warm while it is cold.
-func TestStartIsDatedByThisNodesClock(t *testing.T) {
+func TestProcessStartIsTakenFromThisNodesClock(t *testing.T) {
 	for name, step := range map[string]time.Duration{
 		"no step": 0, "a second ahead": time.Second, "an hour ahead": time.Hour, "an hour back": -time.Hour,
 	} {
@@ -41,7 +41,7 @@
 }
 
 // Guards against a new start time for a server process that a list names again.
-func TestProcessIsDatedOnce(t *testing.T) {
+func TestProcessStartIsSetOnce(t *testing.T) {
 	settings := testSettings()
 	r := newRunner(t, settings, 2)
 	r.deliverList(ListWhole, inServiceEntries(1, 2)...)
--- a/policy/discovery_faults_test.go
+++ b/policy/discovery_faults_test.go
@@ -399,7 +399,7 @@
 }
 
 // Guards against calls without a pause to a discovery that does not wait for changes as long as it is asked to.
-func TestWatchThatEndsAtOnceIsNotMadeAtOnce(t *testing.T) {
+func TestWatchThatEndsAtOnceIsNotRepeatedAtOnce(t *testing.T) {
 	r := newPollingRunner(t, false, 8, 1)
 	r.advance(10 * ms)
 	calls := r.host.callCount
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -121,13 +121,13 @@
 
 // Guards against nodes that all call for the list at the same time where discovery is busy for 6 s at the start and each
 // call takes it four times as long as usual.
-func TestFleetWithSlowCallsGetsTheListBehindABacklog(t *testing.T) {
+func TestFleetWithSlowCallsGetsTheListAfterABacklog(t *testing.T) {
 	discovery := sequentialDiscovery{callDuration: 40 * ms, maxWait: time.Second, freeAt: time.Hour + 6*time.Second}
 	startFleet(t, 80, 80, 0, discovery, 20*time.Second)
 }
 
 // Guards against nodes that get no answer because they start while discovery is busy for 6 s.
-func TestFleetGetsTheListBehindABacklog(t *testing.T) {
+func TestFleetGetsTheListAfterABacklog(t *testing.T) {
 	for _, seed := range fleetSeeds {
 		discovery := sequentialDiscovery{
 			callDuration: changesCallDuration, maxWait: changesCallMaxWait, freeAt: time.Hour + 6*time.Second,
@@ -147,7 +147,7 @@
 // Guards against sends to draining servers: 6 s after a call that failed, was refused or was given up, a node has to know
 // every change that discovery has, however large the fleet is and however long discovery was down. The next call has to
 // be answered before that.
-func TestFailedCallIsRetriedBeforeTheListIsDue(t *testing.T) {
+func TestFailedCallIsRetriedBeforeTheListDeadline(t *testing.T) {
 	const maxAge, maxCallDuration = 6 * time.Second, 500 * ms // the longest time that an answered call takes
 	for _, nodes := range []int{1, 20, 350} {
 		for seed := range uint64(20) {
@@ -214,7 +214,7 @@
 
 // Guards against sends to draining servers: a node that has not called for Rules.MaxCallInterval has to know
 // every change, however large the fleet is.
-func TestFirstCallIsMadeBeforeTheListIsDue(t *testing.T) {
+func TestFirstCallIsMadeBeforeTheListDeadline(t *testing.T) {
 	settings := testSettings()
 	settings.NodeCount, settings.ListOnRequest = 400, true
 	maxCallDuration := 500 * ms // the longest time that an answered call takes
