--- a/policy/calls.go
+++ b/policy/calls.go
@@ -26,7 +26,7 @@
 
 	// A restarted node serves requests by its cached list once discovery has reported what changed, and refuses
 	// requests until then. It reports that it is ready for clients after minReadyDelay to maxReadyDelay even
-	// without an answer: nine in ten nodes have to be ready within 10 s, and within 6 s in short simulations.
+	// without an answer: nine in ten restarted nodes have to be ready within 10 s, or 6 s if the run ends sooner.
 	minReadyDelay = 5 * time.Second
 	maxReadyDelay = 8500 * time.Millisecond
 
