--- a/internal/node/call_commands.go
+++ b/internal/node/call_commands.go
@@ -6,7 +6,7 @@
 	"otterstep/policy"
 )
 
-// callCommand tells the discovery client to make a call, or to abandon one.
+// callCommand is a command to the discovery client to make a call, or to abandon one.
 type callCommand struct {
 	call     policy.Call
 	abandons bool // the call is to be abandoned
--- a/internal/node/call_log.go
+++ b/internal/node/call_log.go
@@ -15,12 +15,12 @@
 
 // callLog logs what happens to calls to discovery.
 type callLog struct {
-	logger           *slog.Logger
-	partialListLines *atomic.Int64 // counts entries that took effect although their answer was not accepted as a whole
+	logger             *slog.Logger
+	partialListEntries *atomic.Int64 // counts entries that took effect although their answer was not accepted as a whole
 
 	failing          bool // the latest call failed
 	unusableSeen     bool // an answer was unusable since the last good one
-	lateSeen         bool // a call was late since the last good answer
+	lateSeen         bool // a call was made because another one was late, since the last good answer
 	unloggedFailures int  // failed calls since the last line about them
 	failureLoggedAt  time.Time
 }
@@ -31,7 +31,8 @@
 func (g *callLog) callStarted(call *listCall, addr string) {
 	level := slog.LevelDebug
 	switch {
-	case call.Reason == policy.CallReasonStart, call.Reason == policy.CallReasonAddressChanged, call.Reason == policy.CallReasonLate && !g.lateSeen:
+	case call.Reason == policy.CallReasonStart, call.Reason == policy.CallReasonAddressChanged,
+		call.Reason == policy.CallReasonLate && !g.lateSeen:
 		level = slog.LevelInfo
 	}
 	g.lateSeen = g.lateSeen || call.Reason == policy.CallReasonLate
@@ -76,14 +77,14 @@
 			inService++
 		}
 	}
-	g.logger.Debug("list taken", "addr", addr, "rev", list.version, "whole", list.isWhole, "servers", len(list.entries), "in_service", inService,
-		"read_ago", time.Since(list.readAt))
+	g.logger.Debug("list taken", "addr", addr, "rev", list.version, "whole", list.isWhole, "servers", len(list.entries),
+		"in_service", inService, "read_ago", time.Since(list.readAt))
 }
 
 // outOfServiceAccepted logs entries that take effect although their answer is incomplete or cannot be accepted
 // otherwise.
 func (g *callLog) outOfServiceAccepted(list serverList, call *listCall, version int64) {
-	g.partialListLines.Add(int64(len(list.entries)))
+	g.partialListEntries.Add(int64(len(list.entries)))
 	g.logger.Debug("servers taken out of service by an answer that is not accepted as a whole", "call", call.ID, "rev", version,
 		"lines", len(list.entries), "read_ago", time.Since(list.readAt))
 }
--- a/internal/node/clients.go
+++ b/internal/node/clients.go
@@ -43,9 +43,9 @@
 
 	mu           sync.Mutex
 	conns        map[*clientConn]struct{}
-	awaitingHead list.List // The *clientConn without a whole request head yet, the oldest first.
-	idleConns    list.List // The idle *clientConn, the longest idle first.
-	evictedCount int       // The number of connections that are evicted and not closed yet.
+	awaitingHead list.List // *clientConn without a whole request head yet, the oldest first
+	idleConns    list.List // idle *clientConn, the longest idle first
+	evictedCount int       // number of connections that are evicted and not closed yet
 }
 
 // clientConn is a client's connection. If the node closed one between two requests, the next request
@@ -54,15 +54,17 @@
 type clientConn struct {
 	net.Conn
 	owner       *clientConns
-	list        *list.List    // The list that holds the connection: awaitingHead, idleConns, or nil while a request is open.
-	element     *list.Element // The connection's element of the list.
-	listedSince time.Time     // The time at which the connection entered the list.
-	isEvicted   bool          // The connection closes unless data has arrived by then.
+	list        *list.List    // list that holds the connection: awaitingHead, idleConns, or nil while a request is open
+	element     *list.Element // the connection's element of the list
+	listedSince time.Time     // time at which the connection entered the list
+	isEvicted   bool          // the connection is about to close, unless data has arrived by then
 
 	// pipelined is what the client has sent after an open request. Only Read uses it, and net/http
 	// makes one call of Read at a time.
-	pipelined          []byte
-	pipelineOverflowed atomic.Bool // The client has sent more than maxPipelinedBytes. The rest is lost, so the connection must close.
+	pipelined []byte
+	// pipelineOverflowed is set once the client has sent more than maxPipelinedBytes. The rest is lost, so
+	// the connection must close.
+	pipelineOverflowed atomic.Bool
 }
 
 // maxPipelinedBytes is how much the node keeps of what a client sends after an open request.
@@ -71,7 +73,8 @@
 // newClientConns returns a clientConns that uses no more than the given number of file descriptors.
 func newClientConns(descriptors int) *clientConns {
 	headroom := descriptors / 8
-	return &clientConns{maxConns: descriptors - headroom, headroom: headroom, log: slog.New(slog.DiscardHandler), conns: map[*clientConn]struct{}{}}
+	return &clientConns{maxConns: descriptors - headroom, headroom: headroom,
+		log: slog.New(slog.DiscardHandler), conns: map[*clientConn]struct{}{}}
 }
 
 // clientListener accepts connections as *clientConn.
@@ -119,7 +122,7 @@
 //
 // While a request is open, net/http detects a disconnect by a read of one byte, and stops looking once
 // a byte has arrived. It would miss the disconnect of a client that sends more before it has its
-// answer. Therefore Read keeps what arrives then as pipelined data, and goes on waiting for the close.
+// answer. Therefore Read keeps what arrives then as pipelined data, and continues to wait for the close.
 func (c *clientConn) Read(b []byte) (int, error) {
 	if len(b) == 1 && !c.isWaiting() {
 		return 0, c.awaitClose()
@@ -208,7 +211,7 @@
 		cc.conns[c] = struct{}{}
 		c.moveTo(&cc.awaitingHead)
 	case http.StateActive:
-		c.undoEvictionLocked() // net/http read the request before the eviction and reports it only now.
+		c.undoEvictionLocked() // net/http read the request before the eviction and reports it only now
 	case http.StateIdle:
 		c.moveTo(&cc.idleConns)
 	case http.StateClosed, http.StateHijacked:
@@ -247,7 +250,8 @@
 // evictExcess evicts connections over maxConns as long as some may be evicted. The caller holds the
 // lock.
 func (cc *clientConns) evictExcess() {
-	for cc.remainingCount() > cc.maxConns && (cc.evictOldest(&cc.awaitingHead, minSilenceBeforeEviction) || cc.evictOldest(&cc.idleConns, minIdleBeforeEviction)) {
+	for cc.remainingCount() > cc.maxConns && (cc.evictOldest(&cc.awaitingHead, minSilenceBeforeEviction) ||
+		cc.evictOldest(&cc.idleConns, minIdleBeforeEviction)) {
 	}
 }
 
--- a/internal/node/clients_test.go
+++ b/internal/node/clients_test.go
@@ -71,20 +71,23 @@
 		text  string
 		codes []int
 	}{
-		"silence":             {"", []int{0, 408}},
-		"half a head":         {"GET /read/1 HTTP/1.1\r\nHost: ap", []int{0, 408}},
-		"half a body":         {strings.TrimSuffix(rawRequest(t, "book"), "load"), []int{0, 408}},
-		"noise":               {"\x00\x01\xff\xfe\r\n\r\n\r\n", []int{0, 400}},
-		"head without end":    {strings.TrimSuffix(rawRequest(t, "read"), "\r\n") + strings.Repeat("X-Pad: pppppppppp\r\n", 20000), []int{0, 431}},
-		"line with no colon":  {rawRequest(t, "read", "no colon"), []int{400}},
-		"both lengths":        {strings.Replace(rawRequest(t, "book", "Transfer-Encoding: chunked"), "payload", "0\r\n\r\n"+smuggled, 1), []int{411}},
+		"silence":     {"", []int{0, 408}},
+		"half a head": {"GET /read/1 HTTP/1.1\r\nHost: ap", []int{0, 408}},
+		"half a body": {strings.TrimSuffix(rawRequest(t, "book"), "load"), []int{0, 408}},
+		"noise":       {"\x00\x01\xff\xfe\r\n\r\n\r\n", []int{0, 400}},
+		"head without end": {strings.TrimSuffix(rawRequest(t, "read"), "\r\n") +
+			strings.Repeat("X-Pad: pppppppppp\r\n", 20000), []int{0, 431}},
+		"line with no colon": {rawRequest(t, "read", "no colon"), []int{400}},
+		"both lengths": {strings.Replace(rawRequest(t, "book", "Transfer-Encoding: chunked"), "payload",
+			"0\r\n\r\n"+smuggled, 1), []int{411}},
 		"chunked":             {strings.Replace(noLength, "\r\n\r\n", "\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 1), []int{411}},
 		"negative length":     {strings.Replace(rawRequest(t, "book"), "Length: 7", "Length: -7", 1), []int{400}},
 		"length not a number": {strings.Replace(rawRequest(t, "book"), "Length: 7", "Length: ten", 1), []int{400}},
 		"two lengths":         {rawRequest(t, "book", "Content-Length: 9"), []int{400}},
 		"huge length":         {strings.Replace(rawRequest(t, "book"), "Length: 7", "Length: 99999999999999", 1), []int{0, 413}},
-		"60 MB":               {strings.Replace(rawRequest(t, "book"), "Length: 7", "Length: 62914560", 1) + strings.Repeat("b", 1<<20), []int{0, 413}},
-		"hundreds at once":    {strings.Repeat("GET /nope/1 HTTP/1.1\r\nHost: api\r\n\r\n", 500), []int{400}},
+		"60 MB": {strings.Replace(rawRequest(t, "book"), "Length: 7", "Length: 62914560", 1) +
+			strings.Repeat("b", 1<<20), []int{0, 413}},
+		"hundreds at once": {strings.Repeat("GET /nope/1 HTTP/1.1\r\nHost: api\r\n\r\n", 500), []int{400}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -322,7 +325,7 @@
 			c.Close()
 			open := make(chan int)
 			waitFor(t, "end of the request", func() bool { l.post(func() { open <- len(l.requests) }); return <-open == 0 })
-			close(hold) // An open idempotent request would be retried now.
+			close(hold) // an open idempotent request would be retried now
 			if time.Since(closedAt) > 2*time.Second {
 				t.Error("the request ended at its deadline, not with its client")
 			}
@@ -462,7 +465,8 @@
 // Guards against bodies that take too much memory together: the node counts their declared lengths
 // before it reads them.
 func TestLargeBodiesShareAByteBudget(t *testing.T) {
-	f := newFront(&loop{clock: newClock()}, wire.NodeSettings{ClassNames: []string{"book"}}, newClientConns(8), 10<<10, func() bool { return true })
+	f := newFront(&loop{clock: newClock()}, wire.NodeSettings{ClassNames: []string{"book"}}, newClientConns(8), 10<<10,
+		func() bool { return true })
 	f.settings.Policy.Classes = parseTestNodeSettings(t, testSettings).Policy.Classes[2:]
 	ask := func() (code int, read int64) {
 		body := &countingReader{}
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -16,9 +16,9 @@
 	Name      string      // name of the node in its log
 	Listen    string      // address at which the node accepts clients
 	Discovery string      // address of discovery
-	Seed      uint64      // seed of the module's random choices
+	Seed      uint64      // seed of the Balancer's random choices
 	MemoryMB  int         // memory that the node may use, in MiB; 0: no limit
-	Sockets   int         // number of descriptors that the node may use
+	Sockets   int         // number of file descriptors that the node may use
 	KnownList listMessage // list of servers that the node last had
 	Settings  wire.NodeSettings
 }
--- a/internal/node/decision_log.go
+++ b/internal/node/decision_log.go
@@ -7,7 +7,7 @@
 	"otterstep/policy"
 )
 
-// decisionLog logs the decisions of the module that no action shows, and counts some of them. It implements
+// decisionLog logs the decisions of the Balancer that no action shows, and counts some of them. It implements
 // policy.Observer.
 type decisionLog struct {
 	log  *slog.Logger
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -24,19 +24,19 @@
 	minWatchWait = time.Millisecond
 
 	// callResponseTimeout bounds the time until an answer begins, beyond the time for which discovery is asked
-	// to wait, and each pause of an answer that has begun. The module makes another call long before that, so
+	// to wait, and each pause of an answer that has begun. The Balancer makes another call long before that, so
 	// this only ends calls that will never be answered.
 	callResponseTimeout = 30 * time.Second
 	callConnectTimeout  = 10 * time.Second // limit on connecting to discovery
 	callIdleTimeout     = 30 * time.Second // limit on an idle connection, such as one to a former address
 
-	// abandonedReadTimeout is the time for which the answer to an abandoned call is still read: what discovery
-	// has written by then counts as told to this node.
+	// abandonedReadTimeout is the time for which the answer to an abandoned call is still read: this node has to
+	// know what discovery has written by then.
 	abandonedReadTimeout = 50 * time.Millisecond
 	// bodyEndTimeout is the time that the body of an answer may take to end after its message is complete.
 	// Only a body that has ended leaves a connection that can be reused.
 	bodyEndTimeout = 200 * time.Millisecond
-	// maxCallsAwaitingBodyEnd bounds the calls that wait for the end of a body, as each holds a descriptor.
+	// maxCallsAwaitingBodyEnd bounds the calls that wait for the end of a body, as each holds a file descriptor.
 	maxCallsAwaitingBodyEnd = 4
 )
 
@@ -58,7 +58,7 @@
 	BootMs       int64   `json:"boot_ms"`
 }
 
-// discoveryClient makes the module's calls to discovery, several at a time, and keeps the version of the list
+// discoveryClient makes the calls of the Balancer to discovery, several at a time, and keeps the version of the list
 // that the node has. Answers arrive in any order, and one of an older version brings nothing new.
 type discoveryClient struct {
 	addr            string
@@ -67,8 +67,8 @@
 	responseTimeout time.Duration
 	callLog         *callLog
 	onList          func(update listUpdate)             // receives each list, and changes to it
-	onCallEnd       func(end policy.CallEnd)            // tells the module that a call has ended
-	onCallProgress  func(id policy.CallID, bytes int64) // tells the module how many bytes of an answer have arrived
+	onCallEnd       func(end policy.CallEnd)            // notifies the Balancer that a call has ended
+	onCallProgress  func(id policy.CallID, bytes int64) // notifies the Balancer how many bytes of an answer have arrived
 	gate            *sendGate
 
 	client          http.Client
@@ -112,7 +112,7 @@
 	list           serverList
 	answerBytes    int64 // size of the answer
 	err            error
-	isPartial      bool // the list holds entries of an answer that goes on
+	isPartial      bool // the list holds entries of an answer of which more is to come
 	allEntriesRead bool // the answer is a whole list, and all of its entries have been read
 	versionUnknown bool // the version of the entries has not been read yet
 	awaitsBodyEnd  bool // the message is complete, and the body has not ended
@@ -128,7 +128,8 @@
 // newDiscoveryClient returns a client of the discovery service at an address. It makes no call until run is called.
 func newDiscoveryClient(addr string, settings wire.NodeSettings, c clock, log *slog.Logger) *discoveryClient {
 	return &discoveryClient{
-		addr: addr, source: sourceID(addr), gate: newSendGate(), zones: settings.ZoneNames, clock: c, responseTimeout: callResponseTimeout, callLog: &callLog{logger: log, partialListLines: new(atomic.Int64)},
+		addr: addr, source: sourceID(addr), gate: newSendGate(), zones: settings.ZoneNames, clock: c,
+		responseTimeout: callResponseTimeout, callLog: &callLog{logger: log, partialListEntries: new(atomic.Int64)},
 		client: http.Client{
 			Transport: &http.Transport{
 				DialContext: tcpDialer(callConnectTimeout).dialContext, MaxIdleConnsPerHost: 1, IdleConnTimeout: callIdleTimeout,
@@ -142,7 +143,7 @@
 }
 
 // attachTo makes the client pass lists and the ends of calls to a loop. Each waits until the loop has handled
-// it, so the module learns of the end of a call after the list that the call brought.
+// it, so the Balancer is notified of the end of a call after the list that the call brought.
 func (d *discoveryClient) attachTo(l *loop) {
 	d.gate = l.gate
 	d.onList = func(update listUpdate) {
@@ -175,7 +176,7 @@
 	d.onList(listUpdate{kind: kind, origin: origin, entries: list.entries, endpoints: list.endpoints})
 }
 
-// run executes the commands of the module and applies the replies to its calls until ctx ends.
+// run executes the commands of the Balancer and applies the replies to its calls until ctx ends.
 func (d *discoveryClient) run(ctx context.Context) {
 	defer d.abandonAll()
 	for {
@@ -219,7 +220,7 @@
 	d.client.CloseIdleConnections()
 }
 
-// abandon ends a call. Of what it still brings, only what takes servers out of service counts.
+// abandon ends a call. Of what its answer still brings, only what takes servers out of service counts.
 func (d *discoveryClient) abandon(id policy.CallID) {
 	if call := d.callsInFlight[id]; call != nil {
 		time.AfterFunc(abandonedReadTimeout, call.cancel)
@@ -234,7 +235,7 @@
 	d.epoch++
 }
 
-// execute starts or abandons a call for the module.
+// execute starts or abandons a call for the Balancer.
 func (d *discoveryClient) execute(ctx context.Context, command callCommand) {
 	if command.abandons {
 		d.abandon(command.call.ID)
@@ -244,7 +245,8 @@
 	ctx, cancel := context.WithCancel(runCtx)
 	call := &listCall{
 		deliver: func(reply callReply) { d.deliver(runCtx, reply) },
-		Call:    command.call, source: d.source, wantsWhole: !d.hasVersion, since: d.version, epoch: d.epoch, startedAt: time.Now(), cancel: cancel,
+		Call:    command.call, source: d.source, wantsWhole: !d.hasVersion, since: d.version,
+		epoch: d.epoch, startedAt: time.Now(), cancel: cancel,
 	}
 	d.callsInFlight[call.ID] = call
 	d.callLog.callStarted(call, d.addr)
@@ -337,10 +339,10 @@
 	return reply
 }
 
-// applyReply applies a reply. If the reply ends its call, the module is told.
+// applyReply applies a reply. If the reply ends its call, the Balancer is notified.
 func (d *discoveryClient) applyReply(reply callReply) {
 	call := reply.call
-	if reply.isPartial || d.callsInFlight[call.ID] != call { // the answer goes on, or the call was abandoned
+	if reply.isPartial || d.callsInFlight[call.ID] != call { // more of the answer is to come, or the call was abandoned
 		d.acceptOutOfService(outOfServiceKind(&reply), reply)
 		return
 	}
@@ -492,7 +494,7 @@
 	return policy.StateDraining
 }
 
-// serverID returns the module's id of a server. It depends on the uid alone, so the node keeps no table of servers
+// serverID returns the Balancer's id of a server. It depends on the uid alone, so the node keeps no table of servers
 // that come and go.
 func serverID(uid string) policy.ServerID {
 	h := fnv.New64a()
@@ -500,7 +502,7 @@
 	return policy.ServerID(h.Sum64())
 }
 
-// sourceID returns the module's id of a discovery service. It depends on the address alone.
+// sourceID returns the Balancer's id of a discovery service. It depends on the address alone.
 func sourceID(addr string) policy.SourceID {
 	h := fnv.New64a()
 	io.WriteString(h, addr)
--- a/internal/node/discovery_service_test.go
+++ b/internal/node/discovery_service_test.go
@@ -228,8 +228,8 @@
 	return body, nil
 }
 
-// encode returns the text of what is newer than a version. It encodes each text once for all nodes, and
-// needs the lock.
+// encode returns the text of what is newer than a version. It encodes each text once for all nodes. The caller holds
+// the lock.
 func (d *discoveryService) encode(since int64) ([]byte, error) {
 	if body, known := d.encodedAnswers[since]; known {
 		return body, nil
@@ -242,7 +242,7 @@
 	return body, nil
 }
 
-// listSince returns what is newer than a version. It needs the lock.
+// listSince returns what is newer than a version. The caller holds the lock.
 func (d *discoveryService) listSince(since int64) listMessage {
 	if since == noVersion {
 		return d.wholeList()
@@ -250,7 +250,7 @@
 	return listMessage{Version: d.version, Entries: d.changeLog[since-firstVersion:]}
 }
 
-// wholeList returns the whole list. It needs the lock.
+// wholeList returns the whole list. The caller holds the lock.
 func (d *discoveryService) wholeList() listMessage {
 	whole := listMessage{Version: d.version, IsWhole: true, Entries: make([]listEntry, 0, len(d.entries))}
 	for _, entry := range d.entries {
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -108,7 +108,7 @@
 	return failures
 }
 
-// runCalls makes a discovery client call one time after the other, as the module would, until maxFailures calls have
+// runCalls makes a discovery client call one time after the other, as the Balancer would, until maxFailures calls have
 // failed.
 func runCalls(t *testing.T, answers *answerSequence, onRequest bool, maxFailures int) callHistory {
 	t.Helper()
@@ -122,7 +122,8 @@
 	defer stop()
 	var logOutput bytes.Buffer
 	var history callHistory
-	client := newDiscoveryClient(service.Listener.Addr().String(), parseTestNodeSettings(t, settingsText), newClock(), slog.New(slog.NewTextHandler(&logOutput, nil)))
+	client := newDiscoveryClient(service.Listener.Addr().String(), parseTestNodeSettings(t, settingsText), newClock(),
+		slog.New(slog.NewTextHandler(&logOutput, nil)))
 	client.onList = func(update listUpdate) {
 		if update.kind == policy.ListWhole {
 			history.servers = update.entries
@@ -232,7 +233,8 @@
 	}))
 	defer service.Close()
 	defer close(release)
-	client := newDiscoveryClient(service.Listener.Addr().String(), parseTestNodeSettings(t, testSettings), newClock(), slog.New(slog.DiscardHandler))
+	client := newDiscoveryClient(service.Listener.Addr().String(), parseTestNodeSettings(t, testSettings), newClock(),
+		slog.New(slog.DiscardHandler))
 	client.responseTimeout = 500 * time.Millisecond
 	client.onList = func(listUpdate) { t.Error("half of a list is passed on") }
 	for _, whole := range []bool{true, false} {
@@ -270,17 +272,18 @@
 	}
 }
 
-// Guards against limits that are too low for a large site: its whole list is accepted by the first call.
+// Guards against limits that are too low for a large deployment: its whole list is accepted by the first call.
 func TestListOfAllServersIsAcceptedByTheFirstCall(t *testing.T) {
 	const servers = 55_000
 	answers := &answerSequence{texts: []string{string(listText(servers)), "down"}}
 	got := runCalls(t, answers, false, 1)
 	if len(got.servers) != servers || answers.calls != 2 || answers.sinceParams[0] != "" || answers.sinceParams[1] != "41" {
-		t.Errorf("%d servers after %d calls since versions %q, want all servers after 2; log %s", len(got.servers), answers.calls, answers.sinceParams, got.logText)
+		t.Errorf("%d servers after %d calls since versions %q, want all servers after 2; log %s",
+			len(got.servers), answers.calls, answers.sinceParams, got.logText)
 	}
 }
 
-// Guards against requests to servers that have gone: an old answer that arrives again would bring them back with its
+// Guards against requests to servers that are gone: an old answer that arrives again would bring them back with its
 // changes. A discovery that restarts its count of versions is followed nevertheless.
 func TestAnswerOfAnOlderVersionIsRejected(t *testing.T) {
 	stale := map[string]string{
@@ -297,7 +300,8 @@
 					t.Errorf("calls since versions %q, want %q", answers.sinceParams, want)
 				}
 				if len(got.servers) != 2 || len(got.failedCalls()) != 2 {
-					t.Errorf("%d servers after %d failures, want the 2 servers of the last whole list and 2 failures", len(got.servers), len(got.failedCalls()))
+					t.Errorf("%d servers after %d failures, want the 2 servers of the last whole list and 2 failures",
+						len(got.servers), len(got.failedCalls()))
 				}
 				if !strings.Contains(got.logText, "version 40 after 41") {
 					t.Errorf("log %q, want it to say that version 40 follows 41", got.logText)
--- a/internal/node/fleet_scale_test.go
+++ b/internal/node/fleet_scale_test.go
@@ -30,7 +30,7 @@
 	shortMaxCallInterval    = 2 * time.Second  // nodes that start spread their first calls over 7/8 of this time
 	deployedMaxCallInterval = 10 * time.Second // value in deployments
 
-	minWatch = 500 * time.Millisecond // shortest watch that the module requests
+	minWatch = 500 * time.Millisecond // shortest watch that the Balancer requests
 )
 
 // nextChange returns the changed entry of the nth change of a fleet: in turn, a server drains, is terminated and is
@@ -104,12 +104,13 @@
 	const few, many, changes = 25, 150, 9
 	small, large := runSteadyChanges(t, few, changes), runSteadyChanges(t, many, changes)
 	if large > 1.25*small {
-		t.Errorf("a change brings %.0f B to each of %d nodes and %.0f B to each of %d, want at most 1.25 times as much", small, few, large, many)
+		t.Errorf("a change brings %.0f B to each of %d nodes and %.0f B to each of %d, want at most 1.25 times as much",
+			small, few, large, many)
 	}
 }
 
-// Guards nodes that restart between changes: they receive all changes. Nodes that know a version ask only for what is
-// newer, and each of the others gets one whole list.
+// Guards against nodes that restart between changes and miss some: they receive all changes. Nodes that know a version
+// ask only for what is newer, and each of the others gets one whole list.
 func TestScaleRestartedNodesCatchUp(t *testing.T) {
 	const nodes, changesBefore, changesDuring = 150, 3, 12
 	begin := time.Now()
@@ -143,7 +144,8 @@
 	lists := service.countsSoFar().wholeLists
 	failed, _ := fleet.failedCalls()
 	if lists < unknown || lists > unknown+failed {
-		t.Errorf("%d whole lists for %d nodes that knew no version, %d calls failed; want one list for each, and at most one more for each failure", lists, unknown, failed)
+		t.Errorf("%d whole lists for %d nodes that knew no version, %d calls failed; want one list per node and at most one more per failure",
+			lists, unknown, failed)
 	}
 	if completed := fleet.propagation.changeToLastNode.TotalCount(); completed != changesBefore+changesDuring {
 		t.Errorf("%d of %d changes reached every node, want all", completed, changesBefore+changesDuring)
@@ -188,9 +190,9 @@
 	return fleet
 }
 
-// Guards against nodes that start together and overload discovery: most of them learn of a change in time, and few calls
+// Guards against nodes that start together and overload discovery: most of them know a change in time, and few calls
 // fail.
-func TestScaleNodesThatStartTogetherAreToldInTime(t *testing.T) {
+func TestScaleNodesThatStartTogetherKnowAChangeInTime(t *testing.T) {
 	for _, started := range []int{1, 30, 210} {
 		t.Run(fmt.Sprint(started), func(t *testing.T) {
 			t.Parallel()
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -24,8 +24,8 @@
 	isReady     func() bool
 	classIndex  map[string]int
 	tenantIndex map[string]int
-	draining    atomic.Bool // The node drains, so that each answer closes its connection.
-	bodyBudget  byteBudget  // The memory for request bodies of more than smallBodyBytes.
+	draining    atomic.Bool // the node drains, so each answer closes its connection
+	bodyBudget  byteBudget  // memory for request bodies of more than smallBodyBytes
 }
 
 // smallBodyBytes is the size up to which a body is not counted in the budget, because it fits into
@@ -102,7 +102,7 @@
 			defer f.bodyBudget.release(r.ContentLength)
 		}
 	}
-	if err == nil && overLimit { // No attempt has been made, so a refusal may promise that a retry does no harm.
+	if err == nil && overLimit { // no attempt has been made, so a refusal may promise that a retry does no harm
 		w.Header().Set("Connection", "close")
 		writeAnswer(w, finalAnswer{kind: answerRefused, retryAfter: f.settings.Policy.Limits.MaxRetryAfter})
 		return
@@ -132,18 +132,18 @@
 		}
 		f.close(w, r)
 		writeAnswer(w, answer)
-	case <-r.Context().Done(): // The client has disconnected.
+	case <-r.Context().Done(): // the client has disconnected
 		f.loop.post(func() { f.loop.clientDisconnected(submitted) })
-		panic(http.ErrAbortHandler) // Without it, net/http would answer 200 with an empty body.
+		panic(http.ErrAbortHandler) // without it, net/http would answer 200 with an empty body
 	case <-f.loop.stopped:
 		http.Error(w, "shutting down", http.StatusBadGateway)
 	}
 }
 
-// close has the connection close after the answer if the node drains, if few file descriptors are
+// close makes the connection close after the answer if the node drains, if few file descriptors are
 // left or if the client has sent more pipelined data than the node keeps. No request can be in transit
-// at such a close, because the client is told of it in the answer. The caller calls it right before it
-// writes the answer, because the state may have changed since the request arrived.
+// at such a close, because the answer announces it. The caller calls it right before it writes the
+// answer, because the state may have changed since the request arrived.
 func (f *front) close(w http.ResponseWriter, r *http.Request) {
 	var reason string
 	switch {
@@ -173,7 +173,8 @@
 	header := w.Header()
 	header.Set("Connection", "close")
 	header.Set("Content-Type", "text/plain; charset=utf-8")
-	header.Set("Content-Length", strconv.Itoa(len(text))) // Without a length, the answer would be chunked, and its last chunk would be lost.
+	// Without a length, the answer would be chunked, and its last chunk would be lost.
+	header.Set("Content-Length", strconv.Itoa(len(text)))
 	w.WriteHeader(code)
 	_, _ = io.WriteString(w, text)
 	if f.clients.isNearLimit() {
@@ -184,7 +185,8 @@
 
 // parseRequest checks and converts all of a client's request but its body. It returns a clientError
 // for an invalid request.
-func (f *front) parseRequest(r *http.Request, receivedAt time.Duration) (policyRequest policy.Request, outgoing *upstreamRequest, err error) {
+func (f *front) parseRequest(r *http.Request, receivedAt time.Duration) (
+	policyRequest policy.Request, outgoing *upstreamRequest, err error) {
 	if len(r.TransferEncoding) > 0 {
 		// A request with both lengths may hide a second request in its body (request smuggling).
 		// net/http has already dropped a Content-Length beside the Transfer-Encoding, so all
--- a/internal/node/gate.go
+++ b/internal/node/gate.go
@@ -7,7 +7,7 @@
 )
 
 // sendGate keeps attempts from beginning at servers that discovery has just taken out of service, from the time at
-// which the node has read that until the module has cancelled the attempts not yet sent there. It is safe for
+// which the node has read that until the Balancer has cancelled the attempts not yet sent there. It is safe for
 // concurrent use.
 type sendGate struct {
 	mu         sync.Mutex
--- a/internal/node/gate_test.go
+++ b/internal/node/gate_test.go
@@ -15,14 +15,15 @@
 )
 
 // Guards against requests to a server after its drain notice, between the time at which its entry was read and the time
-// at which the module has cancelled unsent attempts.
+// at which the Balancer has cancelled unsent attempts.
 func TestNoAttemptBeginsAtAServerThatIsBeingTakenOut(t *testing.T) {
 	gate := newSendGate()
 	begins := func(server policy.ServerID) bool {
 		a := attempt{clock: newClock(), gate: gate, request: &request{}, serverID: server}
 		return a.beginWrite()
 	}
-	entries := []policy.Entry{{Server: 1, State: policy.StateDraining}, {Server: 2, State: policy.StateInService}, {Server: 3, State: policy.StateGone}}
+	entries := []policy.Entry{{Server: 1, State: policy.StateDraining}, {Server: 2, State: policy.StateInService},
+		{Server: 3, State: policy.StateGone}}
 	first, second := gate.closeFor(entries, false), gate.closeFor(entries[:1], false)
 	if begins(1) || begins(3) || !begins(2) || !begins(4) {
 		t.Error("attempts begin at servers that are being taken out, or not at others")
@@ -52,7 +53,8 @@
 				io.WriteString(w, text)
 			}))
 			defer service.Close()
-			client := newDiscoveryClient(service.Listener.Addr().String(), parseTestNodeSettings(t, testSettings), newClock(), slog.New(slog.DiscardHandler))
+			client := newDiscoveryClient(service.Listener.Addr().String(), parseTestNodeSettings(t, testSettings), newClock(),
+				slog.New(slog.DiscardHandler))
 			client.hasVersion, client.version = !strings.Contains(text, `"all":true`), 41
 			client.execute(t.Context(), callCommand{call: policy.Call{ID: 1}}) // nothing receives the reply
 			for deadline := time.Now().Add(time.Second); client.gate.admits(serverID(removed)); time.Sleep(time.Millisecond) {
--- a/internal/node/headless_fleet_test.go
+++ b/internal/node/headless_fleet_test.go
@@ -54,7 +54,7 @@
 	return entries
 }
 
-// headlessNode is a node with the real policy, loop and discovery client, but without a front and without connections
+// headlessNode is a node with the real Balancer, loop and discovery client, but without a front and without connections
 // to servers.
 type headlessNode struct {
 	loop  *loop
@@ -88,7 +88,8 @@
 
 // startHeadlessNode starts the node with the given number in its fleet. It knows a list, which may be empty. onVersion
 // is called with the version of each list that the node has applied.
-func startHeadlessNode(tb testing.TB, settings wire.NodeSettings, addr string, number int, known listMessage, calls *callCounts, onVersion func(version int64)) *headlessNode {
+func startHeadlessNode(tb testing.TB, settings wire.NodeSettings, addr string, number int, known listMessage,
+	calls *callCounts, onVersion func(version int64)) *headlessNode {
 	tb.Helper()
 	c, log := newClock(), slog.New(slog.DiscardHandler)
 	upstream := newUpstream(settings.ConnIdleTimeout, settings.ConnectTimeout, 0)
@@ -309,7 +310,7 @@
 	p.progress = make(chan struct{})
 }
 
-// record records that a node has a change. It needs the lock.
+// record records that a node has a change. The caller holds the lock.
 func (p *propagation) record(node int, change listChange, now time.Time) {
 	histogram, from := p.changeToNode, change.at
 	if start := p.startedAt[node]; start.After(change.at) {
@@ -318,7 +319,7 @@
 	histogram.RecordValue(now.Sub(from).Microseconds())
 }
 
-// recordCompleted records the changes that every node has by now. It needs the lock.
+// recordCompleted records the changes that every node has by now. The caller holds the lock.
 func (p *propagation) recordCompleted(now time.Time) {
 	lowest := slices.Min(p.nodeVersions)
 	for len(p.pending) > 0 && p.pending[0].version <= lowest {
--- a/internal/node/incarnations_test.go
+++ b/internal/node/incarnations_test.go
@@ -58,7 +58,7 @@
 	return listUpdate{kind: kind, origin: policy.Origin{Source: 1, Version: version}, entries: entries, endpoints: endpoints}
 }
 
-// Guards against requests to a former incarnation of a server: they go to the address of the incarnation that the module
+// Guards against requests to a former incarnation of a server: they go to the address of the incarnation that the Balancer
 // has in service.
 func TestRequestsGoToTheAddressOfTheIncarnationInService(t *testing.T) {
 	const former, present = "127.0.0.1:1", "127.0.0.1:2"
@@ -66,7 +66,8 @@
 	for name, deliver := range map[string]func(l *loop){
 		"changes name the former incarnation after the new one": func(l *loop) {
 			l.applyListUpdate(updateAt(policy.ListChanges, 11, []policy.Entry{
-				incarnationOf(policy.StateInService, startedAt), incarnationOf(policy.StateDraining, startedAt-time.Hour)}, present, former))
+				incarnationOf(policy.StateInService, startedAt),
+				incarnationOf(policy.StateDraining, startedAt-time.Hour)}, present, former))
 		},
 		"changes name the end of the former incarnation after the new one": func(l *loop) {
 			l.applyListUpdate(updateAt(policy.ListChanges, 11, []policy.Entry{
@@ -75,7 +76,8 @@
 		"an old list, long after the new incarnation": func(l *loop) {
 			l.applyListUpdate(updateAt(policy.ListChanges, 11, []policy.Entry{incarnationOf(policy.StateInService, startedAt)}, present))
 			l.now += 2 * time.Minute
-			l.applyListUpdate(updateAt(policy.ListWhole, 10, []policy.Entry{incarnationOf(policy.StateInService, startedAt-time.Hour)}, former))
+			l.applyListUpdate(updateAt(policy.ListWhole, 10,
+				[]policy.Entry{incarnationOf(policy.StateInService, startedAt-time.Hour)}, former))
 		},
 		"a lagging discovery at another address answers long after the reload": func(l *loop) {
 			l.applyListUpdate(updateAt(policy.ListChanges, 11, []policy.Entry{incarnationOf(policy.StateInService, startedAt)}, present))
@@ -89,10 +91,11 @@
 		t.Run(name, func(t *testing.T) {
 			l := newTestLoop(t)
 			l.advanceNow()
-			l.applyListUpdate(updateAt(policy.ListWhole, 10, []policy.Entry{incarnationOf(policy.StateInService, startedAt-time.Hour)}, former))
+			l.applyListUpdate(updateAt(policy.ListWhole, 10,
+				[]policy.Entry{incarnationOf(policy.StateInService, startedAt-time.Hour)}, former))
 			deliver(l)
 			if _, listed := l.servers[1]; !listed {
-				t.Fatal("the server has no address, but the module may still send to it")
+				t.Fatal("the server has no address, but the Balancer may still send to it")
 			}
 			l.now += 2 * time.Minute // the server is warm
 			if to := firstAttemptAddrs(t, l); !slices.Equal(to, []string{present}) {
@@ -123,7 +126,8 @@
 // addCallInFlight adds a call to a client. The call never ends by itself.
 func addCallInFlight(client *discoveryClient, id policy.CallID) *listCall {
 	call := &listCall{
-		Call: policy.Call{ID: id}, source: client.source, since: client.version, wantsWhole: !client.hasVersion, epoch: client.epoch, startedAt: time.Now(), cancel: func() {},
+		Call: policy.Call{ID: id}, source: client.source, since: client.version, wantsWhole: !client.hasVersion,
+		epoch: client.epoch, startedAt: time.Now(), cancel: func() {},
 	}
 	client.callsInFlight[id] = call
 	return call
@@ -154,8 +158,11 @@
 			"another call was answered": func(client *discoveryClient) {
 				client.applyReply(callReply{call: addCallInFlight(client, 2), list: unchanged})
 			},
-			"the version was discarded":                            func(client *discoveryClient) { client.discardVersion() },
-			"the version was discarded, another call is in flight": func(client *discoveryClient) { client.discardVersion(); addCallInFlight(client, 2) },
+			"the version was discarded": func(client *discoveryClient) { client.discardVersion() },
+			"the version was discarded, another call is in flight": func(client *discoveryClient) {
+				client.discardVersion()
+				addCallInFlight(client, 2)
+			},
 		} {
 			t.Run(name+" "+text[:30], func(t *testing.T) {
 				client, l := clientAtVersion41(t)
@@ -279,7 +286,8 @@
 				write(w, `{"rev":42,"all":true,"targets":[`+entryText("s1", "terminating")+`]}`)
 			}))
 			defer service.Close()
-			client := newDiscoveryClient(service.Listener.Addr().String(), parseTestNodeSettings(t, testSettings), newClock(), slog.New(slog.DiscardHandler))
+			client := newDiscoveryClient(service.Listener.Addr().String(), parseTestNodeSettings(t, testSettings), newClock(),
+				slog.New(slog.DiscardHandler))
 			client.execute(t.Context(), callCommand{call: policy.Call{ID: 1}})
 			time.Sleep(2 * bodyEndTimeout) // run is busy with another list
 			select {
@@ -304,7 +312,8 @@
 		<-r.Context().Done()
 	}))
 	defer service.Close()
-	client := newDiscoveryClient(service.Listener.Addr().String(), parseTestNodeSettings(t, testSettings), newClock(), slog.New(slog.DiscardHandler))
+	client := newDiscoveryClient(service.Listener.Addr().String(), parseTestNodeSettings(t, testSettings), newClock(),
+		slog.New(slog.DiscardHandler))
 	client.execute(t.Context(), callCommand{call: policy.Call{ID: 1}})
 	<-began
 	client.abandon(1)
--- a/internal/node/list.go
+++ b/internal/node/list.go
@@ -40,7 +40,7 @@
 
 func (e *listTooLargeError) Error() string { return fmt.Sprintf("over %d %s", e.limit, e.unit) }
 
-// serverList is a message of discovery in the module's terms: the whole list or changes to it. It holds little
+// serverList is a message of discovery in the types of package policy: the whole list or changes to it. It holds little
 // for each server, as there may be very many.
 type serverList struct {
 	version      int64
@@ -63,7 +63,7 @@
 	}
 }
 
-// listCallbacks report what a message says while more of it is awaited. Discovery counts a change as told once it
+// listCallbacks report what a message says while more of it is awaited. The node has to know a change once discovery
 // has written its entry, whatever becomes of the rest of the message.
 type listCallbacks struct {
 	// onOutOfService receives further entries that take servers out of service, including those of a message
@@ -92,7 +92,7 @@
 	allEntriesRead     bool   // the closing bracket of the entries has been read
 	allEntriesReported bool   // onAllEntries has been called
 	reportedEntries    int    // number of entries that have been considered for onOutOfService
-	outOfService       []bool // whether each entry takes its server out with a known state, and not with a garbled one
+	outOfService       []bool // whether each entry takes its server out of service by a known state, and not by a garbled one
 }
 
 // readList reads a message up to its end. With an error it returns an empty list.
--- a/internal/node/list_cost_test.go
+++ b/internal/node/list_cost_test.go
@@ -24,7 +24,8 @@
 	n.calls.Add(1)
 	open := n.openAnswers.Add(1)
 	defer n.openAnswers.Add(-1)
-	for maxOpen := n.maxOpenAnswers.Load(); open > maxOpen && !n.maxOpenAnswers.CompareAndSwap(maxOpen, open); maxOpen = n.maxOpenAnswers.Load() {
+	for maxOpen := n.maxOpenAnswers.Load(); open > maxOpen &&
+		!n.maxOpenAnswers.CompareAndSwap(maxOpen, open); maxOpen = n.maxOpenAnswers.Load() {
 	}
 	since, err := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64)
 	fmt.Fprintf(w, `{"rev":%d,"all":%t,"targets":[%s]}`, since+1, err != nil, entryText("s1", "in_service"))
@@ -32,8 +33,8 @@
 	<-r.Context().Done()
 }
 
-// Guards the node's descriptors: it reserves only a few for discovery, so answers whose bodies never end may hold only
-// few connections.
+// Guards the node's file descriptors: it reserves only a few for discovery, so answers whose bodies never end may hold
+// only few connections.
 func TestAnswersThatNeverEndHoldFewConnections(t *testing.T) {
 	for mode, onRequest := range map[string]bool{"pushed": false, "on request": true} {
 		t.Run(mode, func(t *testing.T) {
@@ -58,7 +59,7 @@
 			waitFor(t, "calls", func() bool { return handler.calls.Load() > 3 })
 			time.Sleep(2 * time.Second)
 			if maxOpen := handler.maxOpenAnswers.Load(); maxOpen > reservedSockets {
-				t.Errorf("%d connections to discovery at once in %d calls, want at most %d, the descriptors not for clients or servers",
+				t.Errorf("%d connections to discovery at once in %d calls, want at most the %d reserved file descriptors",
 					maxOpen, handler.calls.Load(), reservedSockets)
 			}
 		})
--- a/internal/node/list_progress_test.go
+++ b/internal/node/list_progress_test.go
@@ -64,8 +64,9 @@
 		versioned    int
 		whole        int
 	}{
-		"in one chunk":              {[]string{`{"rev":2,"targets":[` + terminatingEntryText + `]}`}, io.EOF, nil, 0, 1},
-		"entry by entry":            {[]string{`{"rev":2,"targets":[`, terminatingEntryText, "," + terminatedEntryText, "," + inServiceEntryText, "]}"}, io.EOF, []string{"one", "two"}, 2, 3},
+		"in one chunk": {[]string{`{"rev":2,"targets":[` + terminatingEntryText + `]}`}, io.EOF, nil, 0, 1},
+		"entry by entry": {[]string{`{"rev":2,"targets":[`, terminatingEntryText, "," + terminatedEntryText,
+			"," + inServiceEntryText, "]}"}, io.EOF, []string{"one", "two"}, 2, 3},
 		"broken off after an entry": {[]string{`{"rev":2,"targets":[` + terminatingEntryText + `,{"uid":"s`}, broken, []string{"one"}, 1, -1},
 		"ended after an entry":      {[]string{`{"rev":2,"targets":[` + terminatingEntryText}, io.EOF, []string{"one"}, 1, -1},
 		"half an entry":             {[]string{`{"rev":2,"targets":[`, terminatingEntryText[:20]}, broken, nil, 0, -1},
--- a/internal/node/list_scale_test.go
+++ b/internal/node/list_scale_test.go
@@ -10,7 +10,7 @@
 )
 
 // This file measures what whole lists and changes of one entry cost a node, from discovery's text through the loop to
-// the policy. The test asserts a ratio. The benchmarks print the figures for docs/CAPACITY.md.
+// the Balancer. The test asserts a ratio. The benchmarks print the figures for docs/CAPACITY.md.
 
 // scaleListSizes are numbers of servers, up to the operators' target.
 var scaleListSizes = []int{200, 1000, 5000, 20_000, targetServers}
@@ -61,7 +61,7 @@
 }
 
 // allocatedBytesPerChange returns the number of bytes that a node allocates for a change of one entry, from its text
-// to the policy.
+// to the Balancer.
 func allocatedBytesPerChange(t *testing.T, servers int) float64 {
 	t.Helper()
 	const changes = 16
@@ -86,7 +86,8 @@
 	small, large := allocatedBytesPerChange(t, few), allocatedBytesPerChange(t, many)
 	t.Logf("a change of one entry allocates %.0f B with %d servers, %.0f B with %d", small, few, large, many)
 	if large > 2*small {
-		t.Errorf("a change of one entry allocates %.0f B with %d servers, %.0f B with %d; want at most twice as much", small, few, large, many)
+		t.Errorf("a change of one entry allocates %.0f B with %d servers, %.0f B with %d; want at most twice as much",
+			small, few, large, many)
 	}
 }
 
@@ -101,7 +102,7 @@
 	}
 }
 
-// BenchmarkScaleNodeList measures a whole list that a node reads and accepts, from the text to the policy. It reports
+// BenchmarkScaleNodeList measures a whole list that a node reads and accepts, from the text to the Balancer. It reports
 // the memory that the node keeps for the list and what it allocates to read it.
 func BenchmarkScaleNodeList(b *testing.B) {
 	eachListSize(b, func(b *testing.B, servers int, text []byte) {
@@ -119,7 +120,7 @@
 	})
 }
 
-// BenchmarkScaleNodeChange measures a change of one entry, from the text to the policy.
+// BenchmarkScaleNodeChange measures a change of one entry, from the text to the Balancer.
 func BenchmarkScaleNodeChange(b *testing.B) {
 	eachListSize(b, func(b *testing.B, servers int, text []byte) {
 		_, client := scaleLoop(b, servers)
--- a/internal/node/list_test.go
+++ b/internal/node/list_test.go
@@ -50,7 +50,8 @@
 	`{"targets":[{"uid":"a","uid":"b","Uid":null,"more":{"x":[1,{"y":2}]}}]}`, `{"targets":[{"capacity_hint":-1}]}`,
 	`{"targets":[{"capacity_hint":1e999}]}`, `{"targets":[{"boot_ms":1.5}]}`, `{"targets":[{"uid":"\ud800\u12"}]}`,
 	`{"more":{"x":[1,{"y":[]}],"z":{}},"rev":4}`, `{"more":[1,2,[3]],"rev":4}`, `{"more":[1,]}`, `{"more":{"x":1,}}`, `{"more":[}`,
-	`{"more":{"x"}}`, `{"more":{]}`, `{"more":1e999}`, `{"more":[1e999],"rev":2}`, `{"more":tru}`, `{"more":"a` + "\n" + `b"}`, `{"more":"\x"}`,
+	`{"more":{"x"}}`, `{"more":{]}`, `{"more":1e999}`, `{"more":[1e999],"rev":2}`, `{"more":tru}`,
+	`{"more":"a` + "\n" + `b"}`, `{"more":"\x"}`,
 	`{"more":` + strings.Repeat("[", 9000) + strings.Repeat("]", 9000) + `}`,
 	`{"more":` + strings.Repeat("[", 10001) + strings.Repeat("]", 10001) + `}`,
 }
@@ -181,7 +182,8 @@
 	if err != nil || len(list.entries) != servers || len(list.endpoints) != servers || !list.isWhole || list.version != 41 {
 		t.Fatalf("read %d entries and %d endpoints, error %v; want all of version 41", len(list.entries), len(list.endpoints), err)
 	}
-	if last := servers - 1; list.entries[last].Server != serverID(fmt.Sprintf("s-%08x", last)) || list.endpoints[last] != "127.0.214.215:8000" {
+	if last := servers - 1; list.entries[last].Server != serverID(fmt.Sprintf("s-%08x", last)) ||
+		list.endpoints[last] != "127.0.214.215:8000" {
 		t.Errorf("the last server is %+v at %s", list.entries[last], list.endpoints[last])
 	}
 	if len(list.firstEntries) != maxLoggedServers {
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -41,7 +41,7 @@
 // each request that has no answer yet.
 const (
 	// policyDeadlineMargin is the longest time between the Balancer's deadline and the client's.
-	policyDeadlineMargin = 12 * time.Millisecond
+	balancerDeadlineMargin = 12 * time.Millisecond
 	// answerDeadlineMargin is the longest time between the loop's own answer and the client's deadline.
 	answerDeadlineMargin = 4 * time.Millisecond
 )
@@ -53,8 +53,8 @@
 	answerServed answerKind = iota
 	answerRefused
 	answerFailed
-	answerTimedOut    // The request failed because its time was up.
-	answerDuplicateID // Another request has the same id.
+	answerTimedOut    // the request failed because its time was up
+	answerDuplicateID // another request has the same id
 )
 
 var answerKindNames = [...]string{
@@ -67,9 +67,9 @@
 // finalAnswer is the answer to a client's request; each request gets exactly one.
 type finalAnswer struct {
 	kind       answerKind
-	retryAfter time.Duration // The wait for clients of a refused request. 0 means that none is stated.
-	reason     string        // The reason of a refusal or failure, for the log.
-	result     attemptResult // The server's response if the request was served.
+	retryAfter time.Duration // wait that the client of a refused request is asked for; 0: none is stated
+	reason     string        // reason of a refusal or failure, for the log
+	result     attemptResult // the server's response, if the request was served
 }
 
 // request is a client's request that has no final answer yet or has an attempt in flight. Only the
@@ -77,12 +77,12 @@
 type request struct {
 	id            policy.RequestID
 	outgoing      *upstreamRequest
-	answers       chan<- finalAnswer // A channel with buffer space for the one answer.
-	deadline      time.Duration      // The Balancer's deadline: the time at which attempts time out.
+	answers       chan<- finalAnswer // has buffer space for the one answer
+	deadline      time.Duration      // the Balancer's deadline, at which attempts time out
 	answered      bool
 	attempts      []*attempt
 	inFlight      int
-	writeDeadline atomic.Int64 // The time in nanoseconds from which no attempt may be written. 0 means no limit.
+	writeDeadline atomic.Int64 // clock time in nanoseconds from which no attempt may be written; 0: no limit
 }
 
 // The phases of an attempt's write. The loop and the attempt's goroutine share the phase: no write
@@ -105,9 +105,9 @@
 	incarnation     serverIncarnation
 	sentAt          time.Duration
 	phase           atomic.Int32
-	beganAt         atomic.Int64 // The clock time in nanoseconds of the permission to write the first byte. 0 means not yet.
+	beganAt         atomic.Int64 // clock time in nanoseconds of the permission to write the first byte; 0: not given
 	cancel          context.CancelFunc
-	outcomeReported bool // The Balancer has the outcome; any later result is ignored.
+	outcomeReported bool // the Balancer has the outcome; any later result is ignored
 }
 
 // beginWrite claims the right to write the request. It returns false if the loop has abandoned the
@@ -149,15 +149,15 @@
 
 // loop is the event loop of a node. It owns the Balancer, the requests and the timers: one goroutine
 // runs it, and all others post events to it. It implements policy.Host. A Host must not call back
-// into the Balancer, so an action only starts a goroutine, answers a waiting handler, or defers what
-// the Balancer has to be told until the current event is done.
+// into the Balancer, so an action only starts a goroutine, answers a waiting handler, or defers its
+// report to the Balancer until the current event has ended.
 type loop struct {
 	clock      clock
 	upstream   *upstream
 	gate       *sendGate
-	drainGrace time.Duration // The time for which a draining server may still get attempts.
+	drainGrace time.Duration // time for which a draining server may still get attempts
 	requestLog *requestLog
-	onReady    func() // A callback for the moment from which the node serves requests; it is called once.
+	onReady    func() // called once, when the node begins to serve requests
 	callQueue  *callQueue
 	events     chan func()
 	stopped    chan struct{}
@@ -168,17 +168,18 @@
 	servers          map[policy.ServerID]serverIncarnation
 	lastRequestID    policy.RequestID
 	recentIDs        recentIDs
-	shutdownDeadline time.Duration // The time by which all requests are answered as the node shuts down. 0 means that it does not.
+	shutdownDeadline time.Duration // time by which all requests are answered when the node shuts down; 0: it does not shut down
 
 	metrics  metrics
 	timers   timerHeap
-	deferred []func() // Functions that run in this order after the current event.
+	deferred []func() // functions that run in this order after the current event
 }
 
 func newLoop(settings policy.Settings, seed uint64, clock clock, upstream *upstream, callQueue *callQueue) (*loop, error) {
 	l := &loop{
-		clock: clock, upstream: upstream, gate: newSendGate(), drainGrace: settings.Rules.DrainGrace, requestLog: newRequestLog(slog.New(slog.DiscardHandler)),
-		onReady: func() {}, callQueue: callQueue,
+		clock: clock, upstream: upstream, gate: newSendGate(), drainGrace: settings.Rules.DrainGrace,
+		requestLog: newRequestLog(slog.New(slog.DiscardHandler)),
+		onReady:    func() {}, callQueue: callQueue,
 		events: make(chan func(), 256), stopped: make(chan struct{}),
 		recentIDs: newRecentIDs(settings.Classes),
 		requests:  map[policy.RequestID]*request{}, servers: map[policy.ServerID]serverIncarnation{},
@@ -362,13 +363,14 @@
 		l.answer(r, finalAnswer{kind: answerDuplicateID})
 		return r
 	}
-	for l.lastRequestID++; l.requests[l.lastRequestID] != nil; l.lastRequestID++ { // Ids wrap around, so those of open requests are skipped.
+	// Ids wrap around, so those of open requests are skipped.
+	for l.lastRequestID++; l.requests[l.lastRequestID] != nil; l.lastRequestID++ {
 	}
 	if l.shutdownDeadline > 0 {
 		outgoing.clientDeadline = min(outgoing.clientDeadline, l.shutdownDeadline)
 	}
 	timeLeft := max(0, outgoing.clientDeadline-l.now)
-	policyRequest.ID, policyRequest.TimeLeft = l.lastRequestID, timeLeft-min(policyDeadlineMargin, timeLeft/2)
+	policyRequest.ID, policyRequest.TimeLeft = l.lastRequestID, timeLeft-min(balancerDeadlineMargin, timeLeft/2)
 	r := &request{id: policyRequest.ID, outgoing: outgoing, answers: answers, deadline: l.now + policyRequest.TimeLeft}
 	l.requests[r.id] = r
 	l.requestLog.requestTaken(r, policyRequest)
@@ -483,7 +485,7 @@
 }
 
 // checkDrainGrace counts and logs an attempt that began at a server later than the drain grace after
-// the server went out of service. Such an attempt is a violation of the drain rule.
+// the server went out of service. Such an attempt is a drain violation.
 func (l *loop) checkDrainGrace(a *attempt) {
 	beganAt := time.Duration(a.beganAt.Load())
 	since, isOut := l.balancer.OutOfService(a.serverID)
@@ -508,7 +510,7 @@
 // forgetIfDone removes a request that is answered and has no attempt in flight.
 func (l *loop) forgetIfDone(r *request) {
 	if r.answered {
-		r.outgoing = nil // The heap of timers may refer to the request for a while.
+		r.outgoing = nil // the heap of timers may refer to the request for a while
 		if r.inFlight == 0 {
 			delete(l.requests, r.id)
 		}
@@ -524,7 +526,8 @@
 		return
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	newAttempt := &attempt{clock: l.clock, gate: l.gate, request: r, index: len(r.attempts), serverID: server, sentAt: l.now, cancel: cancel}
+	newAttempt := &attempt{clock: l.clock, gate: l.gate, request: r, index: len(r.attempts), serverID: server,
+		sentAt: l.now, cancel: cancel}
 	r.attempts = append(r.attempts, newAttempt)
 	r.inFlight++
 	incarnation, listed := l.servers[server]
--- a/internal/node/members_test.go
+++ b/internal/node/members_test.go
@@ -80,13 +80,16 @@
 		endpoints []string
 		kept      bool
 	}{
-		"unchanged":                  {[]policy.Entry{inService(1, 5), inService(2, 0)}, []string{"a", "b"}, true},
-		"draining":                   {[]policy.Entry{{Server: 1, StartedAt: 5, State: policy.StateDraining}, inService(2, 0)}, []string{"a", "b"}, true},
-		"gone":                       {[]policy.Entry{{Server: 1, StartedAt: 5}, inService(2, 0)}, []string{"a", "b"}, false},
-		"restarted":                  {[]policy.Entry{inService(1, 6), inService(2, 0)}, []string{"a", "b"}, false},
-		"other address":              {[]policy.Entry{inService(1, 5), inService(2, 0)}, []string{"c", "b"}, false},
-		"gone and back at once":      {[]policy.Entry{{Server: 1, StartedAt: 5}, inService(1, 5), inService(2, 0)}, []string{"a", "a", "b"}, true},
-		"replaced by another server": {[]policy.Entry{{Server: 1, StartedAt: 5}, inService(3, 0), inService(2, 0)}, []string{"a", "a", "b"}, false},
+		"unchanged": {[]policy.Entry{inService(1, 5), inService(2, 0)}, []string{"a", "b"}, true},
+		"draining": {[]policy.Entry{{Server: 1, StartedAt: 5, State: policy.StateDraining}, inService(2, 0)},
+			[]string{"a", "b"}, true},
+		"gone":          {[]policy.Entry{{Server: 1, StartedAt: 5}, inService(2, 0)}, []string{"a", "b"}, false},
+		"restarted":     {[]policy.Entry{inService(1, 6), inService(2, 0)}, []string{"a", "b"}, false},
+		"other address": {[]policy.Entry{inService(1, 5), inService(2, 0)}, []string{"c", "b"}, false},
+		"gone and back at once": {[]policy.Entry{{Server: 1, StartedAt: 5}, inService(1, 5), inService(2, 0)},
+			[]string{"a", "a", "b"}, true},
+		"replaced by another server": {[]policy.Entry{{Server: 1, StartedAt: 5}, inService(3, 0), inService(2, 0)},
+			[]string{"a", "a", "b"}, false},
 	} {
 		for _, kind := range []policy.ListKind{policy.ListChanges, policy.ListWhole, policy.ListCached} {
 			l := newTestLoop(t)
@@ -94,7 +97,8 @@
 			one, two := addIdleConn(t, l.upstream, serverIncarnation{1, "a", 5}), addIdleConn(t, l.upstream, serverIncarnation{2, "b", 0})
 			l.applyNewerUpdate(kind, c.entries, c.endpoints)
 			if one.isOpenAndSilent() != c.kept || !two.isOpenAndSilent() {
-				t.Errorf("%s, kind %d: connections open: %v, %v; want %v, true", name, kind, one.isOpenAndSilent(), two.isOpenAndSilent(), c.kept)
+				t.Errorf("%s, kind %d: connections open: %v, %v; want %v, true", name, kind,
+					one.isOpenAndSilent(), two.isOpenAndSilent(), c.kept)
 			}
 			if l.applyNewerUpdate(policy.ListFailed, nil, nil); !two.isOpenAndSilent() {
 				t.Errorf("%s, kind %d: a failed call closes connections", name, kind)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node runs a load-balancing node on real sockets. It passes what happens on them to the decision module in
-// package policy and carries out the module's decisions.
+// Package node runs a load-balancing node on real sockets. It passes what happens on them to the Balancer of
+// package policy and carries out the Balancer's decisions.
 package node
 
 import (
@@ -17,15 +17,15 @@
 )
 
 const (
-	// reservedSockets is the number of descriptors that are not connections to clients or servers: standard
+	// reservedSockets is the number of file descriptors that are not connections to clients or servers: standard
 	// streams, listener, poller, discovery.
 	reservedSockets = 24
-	// minSockets is the smallest number of descriptors with which a node starts.
+	// minSockets is the smallest number of file descriptors with which a node starts.
 	minSockets = 64
 
-	// A node that was told to stop is not killed before the longest deadline plus killMargin has passed, where a
-	// deadline over maxKillDeadline counts as maxKillDeadline. Clients go on using the connections that stay open,
-	// and have no other node if the tier has only one. So the node serves until shortly before the kill: its last
+	// After the signal to stop, a node is not killed before the longest deadline plus killMargin has passed, where
+	// a deadline over maxKillDeadline counts as maxKillDeadline. Clients continue to use the connections that stay
+	// open, and have no other node if the fleet has only one. So the node serves until shortly before the kill: its last
 	// answers are due finalAnswerMargin before the kill, and it closes idle connections connectionCloseMargin
 	// before the kill. During closeAfterAnswerTime before that, connections close only after an answer. The node
 	// may notice the signal up to maxSignalDelay late, and counts the time to the kill from then on.
@@ -36,7 +36,7 @@
 	finalAnswerMargin     = 100*time.Millisecond + maxSignalDelay
 	connectionCloseMargin = 220*time.Millisecond + maxSignalDelay
 	closeAfterAnswerTime  = 100 * time.Millisecond
-	idleCloseTime         = 20 * time.Millisecond // time for idle connections to close after they were told to
+	idleCloseTime         = 20 * time.Millisecond // time for idle connections to close after they were evicted
 
 	readTimeout       = 2 * time.Second  // limit on reading the head and body of a request
 	answerWriteMargin = 12 * time.Second // time to write an answer, beyond the longest deadline
@@ -85,7 +85,7 @@
 	clock := newClock()
 	settings := config.Settings.Policy
 	settings.ConfirmCachedList, settings.LongPolling = true, true
-	// A request in work takes one descriptor for its client and one for its server, and a hedged attempt takes
+	// A request in flight takes one file descriptor for its client and one for its server, and a hedged attempt takes
 	// another one for a server. Clients also have idle connections, and some that never send anything. So servers
 	// get slightly less than half.
 	servers := (config.Sockets - reservedSockets) * 9 / 20
@@ -97,7 +97,7 @@
 		return err
 	}
 	loop.requestLog = newRequestLog(log)
-	discovery.callLog.partialListLines = &loop.metrics.partialListLines
+	discovery.callLog.partialListEntries = &loop.metrics.partialListEntries
 	loop.balancer.Observe(decisionLog{log, loop})
 	upstream.log, clients.log = log, log
 	var ready atomic.Bool
@@ -153,7 +153,8 @@
 	killAt := time.Now().Add(timeUntilKill(settings.Classes))
 	loop.post(func() { loop.setShutdownDeadline(loop.now + time.Until(killAt) - finalAnswerMargin) })
 	signalledAt := time.Now()
-	for time.Until(killAt) > connectionCloseMargin+closeAfterAnswerTime && (time.Since(signalledAt) < shutdownAcceptTime || !clients.isEmpty()) {
+	for time.Until(killAt) > connectionCloseMargin+closeAfterAnswerTime &&
+		(time.Since(signalledAt) < shutdownAcceptTime || !clients.isEmpty()) {
 		time.Sleep(idleCloseTime)
 	}
 	front.draining.Store(true)
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -37,15 +37,15 @@
 	mu                 sync.Mutex
 	version            int64
 	entries            map[string]listEntry
-	changedAtVersion   map[string]int64 // The version of the last change of each uid.
-	changed            chan struct{}    // A channel that each change closes and replaces.
+	changedAtVersion   map[string]int64 // version of the last change of each uid
+	changed            chan struct{}    // closed and replaced at each change
 	isDown             bool
-	silentWatches      chan<- time.Time // If set, each new watch sends the time here and is never answered.
+	silentWatches      chan<- time.Time // if set, receives the time of each new watch, which is never answered
 	failedCalls        int
-	malformedList      string // If set, the text of all answers in place of a list.
-	onRequest          bool   // The settings have nodes call for the list ("on_request").
-	watchedFromVersion int64  // The version that the latest watch asked from.
-	wholeListCalls     int    // The number of calls for the whole list.
+	malformedList      string // if set, text of all answers in place of a list
+	onRequest          bool   // the settings have nodes call for the list ("on_request")
+	watchedFromVersion int64  // version since which the latest watch asked
+	wholeListCalls     int    // number of calls for the whole list
 }
 
 func newFakeDiscovery(t *testing.T, entries ...listEntry) *fakeDiscovery {
@@ -133,7 +133,7 @@
 	return listEntry{UID: uid, Endpoint: s.addr, AZ: "a", State: "in_service", CapacityHint: 1}
 }
 
-// parseTestSite parses the settings of a node.
+// parseTestNodeSettings parses the settings of a node.
 func parseTestNodeSettings(t testing.TB, text string) wire.NodeSettings {
 	t.Helper()
 	settings, err := wire.ParseNodeSettings([]byte(text))
@@ -165,9 +165,9 @@
 // testNode is a node that runs until its test ends.
 type testNode struct {
 	addr  string
-	ended chan struct{} // A channel that closes when the node has ended, by itself or by stop.
-	err   error         // The error with which the node has ended.
-	stop  func() error  // A function that drains the node and returns err.
+	ended chan struct{} // closed when the node has ended, by itself or by stop
+	err   error         // error with which the node has ended
+	stop  func() error  // drains the node and returns err
 }
 
 // startNodeOn starts a node on a listener.
@@ -179,7 +179,8 @@
 	}
 	config := Config{
 		Name: "n0", Listen: l.Addr().String(), Discovery: d.Listener.Addr().String(), Seed: 1,
-		Sockets: minSockets, KnownList: listMessage{Version: 1, IsWhole: true, Entries: known}, Settings: parseTestNodeSettings(t, settingsText),
+		Sockets: minSockets, KnownList: listMessage{Version: 1, IsWhole: true, Entries: known},
+		Settings: parseTestNodeSettings(t, settingsText),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &testNode{addr: config.Listen, ended: make(chan struct{})}
@@ -189,7 +190,7 @@
 	}()
 	n.stop = func() error { cancel(); <-n.ended; return n.err }
 	t.Cleanup(func() {
-		http.DefaultClient.CloseIdleConnections() // The drain need not wait for idle connections.
+		http.DefaultClient.CloseIdleConnections() // the drain need not wait for idle connections
 		n.stop()
 	})
 	return n
@@ -228,7 +229,8 @@
 		t.Fatal(err)
 	}
 	for name, value := range map[string]string{
-		"X-Correlation-Id": fmt.Sprint("id-", lastClientRequestID.Add(1)), "X-Service-Class": class, "X-Account": "acme", "X-Time-Left": timeLeft,
+		"X-Correlation-Id": fmt.Sprint("id-", lastClientRequestID.Add(1)), "X-Service-Class": class,
+		"X-Account": "acme", "X-Time-Left": timeLeft,
 	} {
 		r.Header.Set(name, value)
 	}
@@ -493,7 +495,7 @@
 			addr, _ := startNode(t, d)
 			d.awaitSynced(t)
 			silent := make(chan time.Time, 1)
-			d.update(func() { d.silentWatches = silent }) // This ends the open watch.
+			d.update(func() { d.silentWatches = silent }) // ends the open watch
 			silentSince := <-silent
 			d.update(func() { d.silentWatches = nil })
 			draining := inServiceEntry(s1, "s1")
@@ -565,7 +567,8 @@
 			}
 			return false
 		}
-		addr, _ := startNode(t, newFakeDiscovery(t, inServiceEntry(newFakeServer(t, resetFirst), "s1"), inServiceEntry(newFakeServer(t, resetFirst), "s2")))
+		addr, _ := startNode(t, newFakeDiscovery(t, inServiceEntry(newFakeServer(t, resetFirst), "s1"),
+			inServiceEntry(newFakeServer(t, resetFirst), "s2")))
 		if code, _, _ := doRequest(t, newClientRequest(t, addr, class, "2.9")); code != want.code {
 			t.Errorf("%s: answered %d, want %d", class, code, want.code)
 		}
@@ -575,7 +578,7 @@
 	}
 }
 
-// Guards against unanswered requests during a drain: a client that goes on using its connection is
+// Guards against unanswered requests during a drain: a client that continues to use its connection is
 // answered each time until an answer closes it, a request received before the drain is answered too, and
 // the node ends without an error.
 func TestDrainServesOpenConnections(t *testing.T) {
@@ -727,7 +730,8 @@
 // submitWithLateConnection has a loop send a request to a server whose connections don't come up. It
 // returns the loop, the request, a function that starts the server so that its connections come up, and
 // the channel of the answer.
-func submitWithLateConnection(t *testing.T, class int, change func(*policy.Settings)) (l *loop, r *request, startServer func(string) *fakeServer, done chan finalAnswer) {
+func submitWithLateConnection(t *testing.T, class int, change func(*policy.Settings)) (
+	l *loop, r *request, startServer func(string) *fakeServer, done chan finalAnswer) {
 	t.Helper()
 	addr, startServer := listenWithFullBacklog(t)
 	settings := parseTestNodeSettings(t, testSettings).Policy
@@ -748,17 +752,18 @@
 	return l, <-sent, startServer, done
 }
 
-// Guards against attempts at a draining server if the node learns of the drain between picking the server
+// Guards against attempts at a draining server if the node is notified of the drain between picking the server
 // and the first byte: the late connection comes up when the server is already draining, and the request
 // must go to another one.
 func TestLateConnectionToAServerThatDrains(t *testing.T) {
 	l, _, startServer, done := submitWithLateConnection(t, 2, func(settings *policy.Settings) { settings.Limits.AllowCancel = false })
 	other := newFakeServer(t, respondWith(okResponse("2"), true))
 	l.post(func() {
-		l.applyNewerUpdate(policy.ListChanges, []policy.Entry{{Server: 1, State: policy.StateDraining}, {Server: 2, State: policy.StateInService}},
+		l.applyNewerUpdate(policy.ListChanges,
+			[]policy.Entry{{Server: 1, State: policy.StateDraining}, {Server: 2, State: policy.StateInService}},
 			[]string{"", other.addr})
 	})
-	drainingServer := startServer(okResponse("1")) // Now its connections come up.
+	drainingServer := startServer(okResponse("1")) // from now on its connections come up
 	select {
 	case a := <-done:
 		if a.kind != answerServed || string(a.result.body) != "2" {
@@ -788,16 +793,16 @@
 
 // Guards against running a request with an idempotency key twice: the Balancer decides on a retry within
 // the dedup window, and the retry can be written only after the window. The connection comes up late, the
-// write stalls half-way, or the first attempt is late while its hedge has run. For example, with a window
+// write stalls half-way, or the first attempt is late while its hedged attempt has run. For example, with a window
 // of 200 ms, a retry that was decided on 135 ms after the first attempt was written after 299 ms.
 func TestNothingIsWrittenAfterTheDedupWindow(t *testing.T) {
 	resets := func(int64, *http.Request, net.Conn) bool { return false }
 	hangs := func(_ int64, _ *http.Request, c net.Conn) bool { c.Read(make([]byte, 1)); return false }
 	for name, testCase := range map[string]struct {
-		first     func(t *testing.T) (addr string, up func() *fakeServer) // The server of the first attempt.
-		second    func(t *testing.T) (addr string, up func() *fakeServer) // The server of the second attempt.
-		lateIndex int                                                     // The index of the late attempt.
-		phase     int32                                                   // The phase of the late attempt at the end of the window.
+		first     func(t *testing.T) (addr string, up func() *fakeServer) // starts the server of the first attempt
+		second    func(t *testing.T) (addr string, up func() *fakeServer) // starts the server of the second attempt
+		lateIndex int                                                     // index of the late attempt
+		phase     int32                                                   // phase of the late attempt at the end of the window
 	}{
 		"a late connection":    {acceptingServer(resets), lateAcceptingServer, 1, phaseUnsent},
 		"a stalled write":      {acceptingServer(resets), nonReadingServer, 1, phaseWriting},
@@ -809,7 +814,8 @@
 			settings.Classes = settings.Classes[1:2]
 			class := &settings.Classes[0]
 			class.Deadline, class.DedupWindow = time.Hour, time.Minute
-			class.LatencyTarget, class.TargetWorkFactor = 80*time.Millisecond, 3600 // The request is retried soon, and an answer has value for long.
+			// The request is retried soon, and an answer keeps its value for long.
+			class.LatencyTarget, class.TargetWorkFactor = 80*time.Millisecond, 3600
 			l, err := newLoop(settings, 1, newClock(), newUpstream(time.Hour, testTimeout, 8), newCallQueue())
 			if err != nil {
 				t.Fatal(err)
@@ -819,12 +825,12 @@
 			secondAddr, startSecond := testCase.second(t)
 			done, sent := make(chan finalAnswer, 1), make(chan *request)
 			l.post(func() {
-				for range 10 { // Each request is refused and earns a tenth of a hedge.
+				for range 10 { // each request is refused and earns a tenth of a hedged attempt
 					l.balancer.RequestArrived(l.now, policy.Request{ID: 1 << 31})
 				}
 				l.applyNewerUpdate(policy.ListWhole, []policy.Entry{{Server: 1, State: policy.StateInService}}, []string{firstAddr})
 				outgoing := pushRequest()
-				outgoing.body, outgoing.clientDeadline = make([]byte, 16<<20), l.now+time.Hour // The body is larger than all buffers.
+				outgoing.body, outgoing.clientDeadline = make([]byte, 16<<20), l.now+time.Hour // the body is larger than all buffers
 				sent <- l.submit(policy.Request{WorkHint: time.Second}, outgoing, done)
 				l.applyNewerUpdate(policy.ListChanges, []policy.Entry{{Server: 2, State: policy.StateInService}}, []string{secondAddr})
 			})
@@ -840,10 +846,13 @@
 						r.attempts[1-testCase.lateIndex].phase.Load() == phaseWritten
 				})
 			})
-			l.post(func() { l.clock.start = l.clock.start.Add(-class.DedupWindow) })          // The window is over,
-			checkInLoop(func() bool { return true })                                          // its timer has fired,
-			lateServer := []func() *fakeServer{startFirst, startSecond}[testCase.lateIndex]() // and the late connection or write can go on.
-			waitFor(t, "end of the attempt", func() bool { return checkInLoop(func() bool { return r.attempts[testCase.lateIndex].outcomeReported }) })
+			l.post(func() { l.clock.start = l.clock.start.Add(-class.DedupWindow) }) // ends the window
+			checkInLoop(func() bool { return true })                                 // waits until the timer of the window has fired
+			// From here on, the late connection can come up and the late write can continue.
+			lateServer := []func() *fakeServer{startFirst, startSecond}[testCase.lateIndex]()
+			waitFor(t, "end of the attempt", func() bool {
+				return checkInLoop(func() bool { return r.attempts[testCase.lateIndex].outcomeReported })
+			})
 			if n := lateServer.requests.Load(); n != 0 {
 				t.Errorf("%d requests after the window, want 0", n)
 			}
@@ -988,7 +997,8 @@
 
 func TestServerInUnknownStateGetsNoNewRequests(t *testing.T) {
 	for name, want := range map[string]policy.ServerState{
-		"in_service": policy.StateInService, "terminating": policy.StateDraining, "terminated": policy.StateGone, "resting": policy.StateDraining,
+		"in_service": policy.StateInService, "terminating": policy.StateDraining,
+		"terminated": policy.StateGone, "resting": policy.StateDraining,
 	} {
 		if got := parseState(name); got != want {
 			t.Errorf("%s: state %d, want %d", name, got, want)
--- a/internal/node/recent_ids.go
+++ b/internal/node/recent_ids.go
@@ -7,15 +7,15 @@
 	"otterstep/policy"
 )
 
-// recentIDs is the set of ids of requests that are open or were received recently. Servers tell
-// requests apart by their ids, so a second request with the id of another client's open request could
+// recentIDs is the set of ids of requests that are open or were received recently. Servers distinguish
+// requests by their ids, so a second request with the id of another client's open request could
 // get that request's answer. The second one may also arrive shortly after that answer, so ids stay in
 // the set for a while. The set keeps hashes of ids in two generations, and drops a whole generation at
 // a time to stay small.
 type recentIDs struct {
 	seed              maphash.Seed
-	generationLength  time.Duration // The time for which ids are added to one generation.
-	currentSince      time.Duration // The start of the current generation.
+	generationLength  time.Duration // time for which ids are added to one generation
+	currentSince      time.Duration // start of the current generation
 	current, previous map[uint64]struct{}
 }
 
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -108,7 +108,8 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		ConfigReloader{path, hangups}.run(ctx, current, func(addr string) { addrChanges <- addr }, slog.New(slog.NewTextHandler(&text, nil)))
+		ConfigReloader{path, hangups}.run(ctx, current, func(addr string) { addrChanges <- addr },
+			slog.New(slog.NewTextHandler(&text, nil)))
 	}()
 	hangups <- syscall.SIGHUP
 	hangups <- syscall.SIGHUP // the same file again changes no address
--- a/internal/node/request_log.go
+++ b/internal/node/request_log.go
@@ -9,7 +9,7 @@
 )
 
 // requestLog logs what happens to each request at the debug level, by the id that its client gave it.
-// At other levels a call costs one comparison.
+// At other levels each method costs one comparison.
 type requestLog struct {
 	logger  *slog.Logger
 	enabled bool
@@ -20,7 +20,7 @@
 }
 
 // correlationID returns the id that the client gave its request, or an empty string for an answered
-// request whose message has been released.
+// request whose outgoing request has been released.
 func correlationID(r *request) string {
 	if r.outgoing == nil {
 		return ""
@@ -30,7 +30,8 @@
 
 func (g *requestLog) requestTaken(r *request, policyRequest policy.Request) {
 	if g.enabled {
-		g.logger.Debug("request taken", "request", correlationID(r), "number", r.id, "class", policyRequest.Class, "left", policyRequest.TimeLeft)
+		g.logger.Debug("request taken", "request", correlationID(r), "number", r.id, "class", policyRequest.Class,
+			"left", policyRequest.TimeLeft)
 	}
 }
 
--- a/internal/node/response.go
+++ b/internal/node/response.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	maxInterimResponses  = 8        // The limit of 1xx responses before the final one.
-	maxResponseHeadBytes = 16 << 10 // The size limit of all heads of a response, including those of interim ones.
+	maxInterimResponses  = 8        // limit on 1xx responses before the final one
+	maxResponseHeadBytes = 16 << 10 // size limit of all heads of a response, including those of interim ones
 )
 
 // serverResponse is a complete HTTP response from a server.
@@ -22,7 +22,7 @@
 	statusCode int
 	header     textproto.MIMEHeader
 	body       []byte
-	closesConn bool // The server closes the connection after the response.
+	closesConn bool // the server closes the connection after the response
 }
 
 // errMalformedResponse is the error that all errors about malformed responses wrap.
--- a/internal/node/response_faults_test.go
+++ b/internal/node/response_faults_test.go
@@ -28,7 +28,7 @@
 		if want := outgoing.header.Get("X-Correlation-Id"); string(result.body) != want {
 			t.Errorf("status %d, body %q; want %q", result.status, result.body, want)
 		}
-		if i == 1 { // From here on the late bytes have arrived before the next request.
+		if i == 1 { // from here on the late bytes have arrived before the next request
 			<-sent
 			<-sent
 			u.ageIdleConns()
@@ -45,13 +45,14 @@
 		io.WriteString(c, okResponse("hello"))
 		return true
 	})
-	if result := newTestUpstream(t, 8).roundTrip(t.Context(), incarnationAt(s.addr), getRequest(), testTimeout, allowWrite); result.status != policy.OK {
+	if result := newTestUpstream(t, 8).roundTrip(t.Context(), incarnationAt(s.addr), getRequest(),
+		testTimeout, allowWrite); result.status != policy.OK {
 		t.Errorf("status %d, want OK", result.status)
 	}
 }
 
 // Guards against responses that take up the client's time: one whose declared length is over the limit
-// fails at once and is not read, although its server goes on sending.
+// fails at once and is not read, although its server continues to send.
 func TestResponseOverTheLimitFailsUnread(t *testing.T) {
 	closed := make(chan int, 1)
 	s := newFakeServer(t, func(_ int64, _ *http.Request, c net.Conn) bool {
@@ -65,7 +66,8 @@
 		closed <- written
 		return false
 	})
-	if result := newTestUpstream(t, 8).roundTrip(t.Context(), incarnationAt(s.addr), getRequest(), testTimeout, allowWrite); result.status != policy.ConnectionReset {
+	if result := newTestUpstream(t, 8).roundTrip(t.Context(), incarnationAt(s.addr), getRequest(),
+		testTimeout, allowWrite); result.status != policy.ConnectionReset {
 		t.Errorf("status %d, want ConnectionReset", result.status)
 	}
 	select {
@@ -122,7 +124,7 @@
 		}
 	}
 	checkConns(1, "at first")
-	d.change(inServiceEntry(s, "s2")) // The new server is at the address before the old one is reported gone.
+	d.change(inServiceEntry(s, "s2")) // the new server is at the address before the old one is reported gone
 	terminated := inServiceEntry(s, "s1")
 	terminated.State = "terminated"
 	d.awaitSynced(t)
@@ -133,7 +135,7 @@
 	d.awaitSynced(t)
 	checkConns(2, "late message about the old server")
 	restarted := inServiceEntry(s, "s2")
-	restarted.BootMs = 1000 // The Balancer takes it as long past, and yet it is another process.
+	restarted.BootMs = 1000 // the Balancer takes it as long past, and yet it is another process
 	d.change(restarted)
 	d.awaitSynced(t)
 	restarted.BootMs = time.Now().Add(-time.Minute).UnixMilli()
--- a/internal/node/tenants_scale_test.go
+++ b/internal/node/tenants_scale_test.go
@@ -33,7 +33,8 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				l, err := newLoop(settings.Policy, 1, newClock(), newUpstream(settings.ConnIdleTimeout, settings.ConnectTimeout, 0), newCallQueue())
+				l, err := newLoop(settings.Policy, 1, newClock(),
+					newUpstream(settings.ConnIdleTimeout, settings.ConnectTimeout, 0), newCallQueue())
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -41,11 +41,11 @@
 // the loop has submitted it, so attempts may share it.
 type upstreamRequest struct {
 	method         string
-	uri            string // The request target exactly as the client wrote it.
+	uri            string // request target exactly as the client wrote it
 	host           string
 	header         http.Header
 	body           []byte
-	clientDeadline time.Duration // The time on the node's clock at which the client gives up.
+	clientDeadline time.Duration // time on the node's clock at which the client gives up
 }
 
 // encode returns the whole request as bytes, so that one write sends it and shows whether its last
@@ -78,8 +78,8 @@
 type attemptResult struct {
 	status         policy.Status
 	contentType    string
-	body           []byte // The body of the response if the status is OK.
-	invalidRequest bool   // The server has answered that the request is invalid.
+	body           []byte // body of the response if the status is OK
+	invalidRequest bool   // the server has answered that the request is invalid
 }
 
 // upstream carries out attempts on pooled connections to servers, one request at a time on each. It
@@ -87,13 +87,13 @@
 // Idempotency-Key, again by itself if a pooled connection turns out to be dead: an attempt that the
 // Balancer does not know of.
 type upstream struct {
-	maxIdle  time.Duration // The longest time that a connection is kept idle.
+	maxIdle  time.Duration // longest time that a connection is kept idle
 	dialer   dialer
-	maxConns int // The limit of open connections, including idle ones.
+	maxConns int // limit on open connections, including idle ones
 	log      *slog.Logger
 
 	mu        sync.Mutex
-	idleConns map[serverIncarnation][]*serverConn // The connections of each server, the most recently used last.
+	idleConns map[serverIncarnation][]*serverConn // idle connections to each server, the most recently used last
 	openConns int
 }
 
@@ -102,7 +102,8 @@
 // transit when the server closes ends as a reset and may have run.
 func newUpstream(connIdle, connectTimeout time.Duration, maxConns int) *upstream {
 	return &upstream{
-		maxIdle: connIdle * 3 / 4, dialer: tcpDialer(connectTimeout), maxConns: maxConns, log: slog.New(slog.DiscardHandler), idleConns: map[serverIncarnation][]*serverConn{},
+		maxIdle: connIdle * 3 / 4, dialer: tcpDialer(connectTimeout), maxConns: maxConns,
+		log: slog.New(slog.DiscardHandler), idleConns: map[serverIncarnation][]*serverConn{},
 	}
 }
 
@@ -110,8 +111,8 @@
 type serverConn struct {
 	*net.TCPConn
 	incarnation  serverIncarnation
-	limitedInput io.LimitedReader // The connection with a limit on the bytes that one response may take.
-	reader       *bufio.Reader    // A buffered reader of limitedInput.
+	limitedInput io.LimitedReader // connection with a limit on the bytes that one response may take
+	reader       *bufio.Reader    // buffered reader of limitedInput
 	idleSince    time.Time
 }
 
@@ -128,17 +129,20 @@
 
 // roundTrip makes one attempt. Its status depends on whether the last byte of the request was written:
 // before that the request can't have run, and after that it may have. The connection may take long to
-// come up, so the server is told what is left of timeLeft when the request is written.
-func (u *upstream) roundTrip(ctx context.Context, incarnation serverIncarnation, outgoing *upstreamRequest, timeLeft time.Duration, permit writePermit) attemptResult {
+// come up, so the request states what is left of timeLeft when it is written.
+func (u *upstream) roundTrip(ctx context.Context, incarnation serverIncarnation, outgoing *upstreamRequest,
+	timeLeft time.Duration, permit writePermit) attemptResult {
 	startedAt := time.Now()
 	c, err := u.acquireConn(ctx, incarnation)
 	switch {
 	case errors.Is(err, errConnLimit) || isOneOf(err, localErrors):
-		return attemptResult{status: policy.NotSent} // The failure is the node's own and must not count against the server.
+		// The failure is the node's own and must not count against the server.
+		return attemptResult{status: policy.NotSent}
 	case err != nil:
 		return attemptResult{status: policy.ConnectFailed}
 	}
-	unregister := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) }) // A past deadline ends pending reads and writes.
+	// A past deadline ends pending reads and writes.
+	unregister := context.AfterFunc(ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	if !permit.beginWrite() {
 		u.releaseConn(c, unregister())
 		return attemptResult{status: policy.NotSent}
@@ -172,7 +176,8 @@
 		result.status = policy.Rejected
 	default:
 		result.status = policy.ServerError
-		result.invalidRequest = response.statusCode/100 == 4 && response.statusCode != http.StatusRequestTimeout && response.statusCode != http.StatusTooManyRequests
+		result.invalidRequest = response.statusCode/100 == 4 &&
+			response.statusCode != http.StatusRequestTimeout && response.statusCode != http.StatusTooManyRequests
 	}
 	c.setResponseDeadline(ctx, time.Time{})
 	return result, !response.closesConn && c.reader.Buffered() == 0
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -153,32 +153,38 @@
 		"closed after the request":  {"", false, policy.ConnectionReset, 0},
 		"ends in the body":          {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", false, policy.ConnectionReset, 0},
 		"no HTTP":                   {"\x00\x01\x02 nothing\r\n\r\n", true, policy.ConnectionReset, 0},
-		"head without end":          {"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", maxResponseHeadBytes+maxBodyBytes), true, policy.ConnectionReset, 0},
-		"many short header lines":   {"HTTP/1.1 200 OK\r\n" + strings.Repeat("A: a\r\n", maxResponseHeadBytes), true, policy.ConnectionReset, 0},
-		"head that stops":           {"HTTP/1.1 200 OK\r\nContent-Le", true, policy.ConnectionReset, 0},
-		"body that stops":           {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", true, policy.ConnectionReset, 0},
-		"chunks that stop":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", true, policy.ConnectionReset, 0},
-		"chunks that can't be read": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nhello\r\n0\r\n\r\n", true, policy.ConnectionReset, 0},
-		"no length":                 {head("A: b"), true, policy.ConnectionReset, 0},
-		"no length, then closed":    {head("Connection: close"), false, policy.ConnectionReset, 0},
-		"both lengths":              {head("Content-Length: 5\r\nTransfer-Encoding: chunked"), true, policy.ConnectionReset, 0},
-		"two lengths":               {head("Content-Length: 5\r\nContent-Length: 4"), true, policy.ConnectionReset, 0},
-		"negative length":           {head("Content-Length: -5"), true, policy.ConnectionReset, 0},
-		"length not a number":       {head("Content-Length: five"), true, policy.ConnectionReset, 0},
-		"line with no colon":        {head("no colon\r\nContent-Length: 5"), true, policy.ConnectionReset, 0},
-		"code not a number":         {"HTTP/1.1 2x0 OK\r\nContent-Length: 5\r\n\r\nhello", true, policy.ConnectionReset, 0},
-		"code after its text":       {"HTTP/1.1 OK 200\r\nContent-Length: 5\r\n\r\nhello", true, policy.ConnectionReset, 0},
-		"other protocol":            {"ICY 200 OK\r\nContent-Length: 5\r\n\r\nhello", true, policy.ConnectionReset, 0},
-		"interim without end":       {strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 20) + okResponse("hello"), true, policy.ConnectionReset, 0},
-		"switches protocols":        {"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n", true, policy.ConnectionReset, 0},
-		"odd load report":           {head("X-Backend-Load: {\"%%=,\r\nContent-Length: 5"), true, policy.OK, 1},
-		"body over the limit":       {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" + strings.Repeat("a", maxBodyBytes+1), true, policy.ConnectionReset, 0},
+		"head without end": {"HTTP/1.1 200 OK\r\nA: " + strings.Repeat("a", maxResponseHeadBytes+maxBodyBytes),
+			true, policy.ConnectionReset, 0},
+		"many short header lines": {"HTTP/1.1 200 OK\r\n" + strings.Repeat("A: a\r\n", maxResponseHeadBytes), true, policy.ConnectionReset, 0},
+		"head that stops":         {"HTTP/1.1 200 OK\r\nContent-Le", true, policy.ConnectionReset, 0},
+		"body that stops":         {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", true, policy.ConnectionReset, 0},
+		"chunks that stop":        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n", true, policy.ConnectionReset, 0},
+		"chunks that can't be read": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nhello\r\n0\r\n\r\n",
+			true, policy.ConnectionReset, 0},
+		"no length":              {head("A: b"), true, policy.ConnectionReset, 0},
+		"no length, then closed": {head("Connection: close"), false, policy.ConnectionReset, 0},
+		"both lengths":           {head("Content-Length: 5\r\nTransfer-Encoding: chunked"), true, policy.ConnectionReset, 0},
+		"two lengths":            {head("Content-Length: 5\r\nContent-Length: 4"), true, policy.ConnectionReset, 0},
+		"negative length":        {head("Content-Length: -5"), true, policy.ConnectionReset, 0},
+		"length not a number":    {head("Content-Length: five"), true, policy.ConnectionReset, 0},
+		"line with no colon":     {head("no colon\r\nContent-Length: 5"), true, policy.ConnectionReset, 0},
+		"code not a number":      {"HTTP/1.1 2x0 OK\r\nContent-Length: 5\r\n\r\nhello", true, policy.ConnectionReset, 0},
+		"code after its text":    {"HTTP/1.1 OK 200\r\nContent-Length: 5\r\n\r\nhello", true, policy.ConnectionReset, 0},
+		"other protocol":         {"ICY 200 OK\r\nContent-Length: 5\r\n\r\nhello", true, policy.ConnectionReset, 0},
+		"interim without end": {strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 20) + okResponse("hello"),
+			true, policy.ConnectionReset, 0},
+		"switches protocols": {"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n", true, policy.ConnectionReset, 0},
+		"odd load report":    {head("X-Backend-Load: {\"%%=,\r\nContent-Length: 5"), true, policy.OK, 1},
+		"body over the limit": {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n" +
+			strings.Repeat("a", maxBodyBytes+1), true, policy.ConnectionReset, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, u := newFakeServer(t, respondWith(testCase.text, testCase.keep)), newTestUpstream(t, 8)
 			result := u.roundTrip(t.Context(), incarnationAt(s.addr), getRequest(), time.Second, allowWrite)
-			if result.status != testCase.status || len(u.idleConns[incarnationAt(s.addr)]) != testCase.pooled || u.openConns != testCase.pooled {
-				t.Errorf("status %d, %d idle, %d open; want status %d, %d idle", result.status, len(u.idleConns[incarnationAt(s.addr)]), u.openConns, testCase.status, testCase.pooled)
+			if result.status != testCase.status ||
+				len(u.idleConns[incarnationAt(s.addr)]) != testCase.pooled || u.openConns != testCase.pooled {
+				t.Errorf("status %d, %d idle, %d open; want status %d, %d idle", result.status,
+					len(u.idleConns[incarnationAt(s.addr)]), u.openConns, testCase.status, testCase.pooled)
 			}
 			if want := map[bool]string{true: "hello"}[testCase.status == policy.OK]; string(result.body) != want {
 				t.Errorf("body %q, want %q", result.body, want)
@@ -197,8 +203,9 @@
 	}
 	l.Close()
 	u := newTestUpstream(t, 8)
-	if result := u.roundTrip(t.Context(), incarnationAt(l.Addr().String()), pushRequest(), time.Second, allowWrite); result.status != policy.ConnectFailed || u.openConns != 0 {
-		t.Errorf("status %d, %d open; want could not connect, 0", result.status, u.openConns)
+	if result := u.roundTrip(t.Context(), incarnationAt(l.Addr().String()), pushRequest(),
+		time.Second, allowWrite); result.status != policy.ConnectFailed || u.openConns != 0 {
+		t.Errorf("status %d, %d open; want ConnectFailed, 0", result.status, u.openConns)
 	}
 }
 
@@ -234,7 +241,7 @@
 			t.Fatal(err)
 		}
 		file := os.NewFile(uintptr(dup), addr)
-		defer file.Close() // The listener has its own file descriptor.
+		defer file.Close() // the listener has its own file descriptor
 		l, err := net.FileListener(file)
 		if err != nil {
 			t.Fatal(err)
@@ -248,7 +255,8 @@
 func TestConnectTimeoutIsAConnectFailure(t *testing.T) {
 	addr, _ := listenWithFullBacklog(t)
 	u := newUpstream(time.Hour, 200*time.Millisecond, 8)
-	if result := u.roundTrip(t.Context(), incarnationAt(addr), pushRequest(), time.Second, allowWrite); result.status != policy.ConnectFailed {
+	if result := u.roundTrip(t.Context(), incarnationAt(addr), pushRequest(),
+		time.Second, allowWrite); result.status != policy.ConnectFailed {
 		t.Errorf("status %d, want ConnectFailed", result.status)
 	}
 }
@@ -256,7 +264,7 @@
 // Guards against a wrong status if the last byte of the request could not be written: the request has
 // certainly not run.
 func TestBreakBeforeTheLastByteIsAConnectFailure(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0") // It never reads, so it does not close in return.
+	l, err := net.Listen("tcp", "127.0.0.1:0") // never reads, so it does not close in return
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -266,13 +274,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.CloseWrite(); err != nil { // From now on, writes fail.
+	if err := c.CloseWrite(); err != nil { // from now on, writes fail
 		t.Fatal(err)
 	}
 	u.releaseConn(c, true)
 	u.ageIdleConns()
-	if result := u.roundTrip(t.Context(), incarnationAt(l.Addr().String()), pushRequest(), time.Second, allowWrite); result.status != policy.ConnectFailed || u.openConns != 0 {
-		t.Errorf("status %d, %d open; want could not connect, 0", result.status, u.openConns)
+	if result := u.roundTrip(t.Context(), incarnationAt(l.Addr().String()), pushRequest(),
+		time.Second, allowWrite); result.status != policy.ConnectFailed || u.openConns != 0 {
+		t.Errorf("status %d, %d open; want ConnectFailed, 0", result.status, u.openConns)
 	}
 }
 
@@ -285,14 +294,15 @@
 				if n == 1 {
 					io.WriteString(c, okResponse("first"))
 				}
-				return n == 1 // The second request finds the connection closing.
+				return n == 1 // the second request finds the connection closing
 			})
 			u := newTestUpstream(t, 8)
 			if result := u.roundTrip(t.Context(), incarnationAt(s.addr), outgoing, time.Second, allowWrite); result.status != policy.OK {
 				t.Fatalf("status %d, want OK", result.status)
 			}
 			u.ageIdleConns()
-			if result := u.roundTrip(t.Context(), incarnationAt(s.addr), outgoing, time.Second, allowWrite); result.status != policy.ConnectionReset {
+			if result := u.roundTrip(t.Context(), incarnationAt(s.addr), outgoing,
+				time.Second, allowWrite); result.status != policy.ConnectionReset {
 				t.Errorf("status %d, want ConnectionReset", result.status)
 			}
 			if n, c := s.requests.Load(), s.conns.Load(); n != 2 || c != 1 {
@@ -343,7 +353,8 @@
 // Guards against an attempt that is written after the loop has abandoned it.
 func TestNothingIsWrittenOnceAbandoned(t *testing.T) {
 	s, u := newFakeServer(t, respondWith(okResponse("x"), true)), newTestUpstream(t, 8)
-	if result := u.roundTrip(t.Context(), incarnationAt(s.addr), pushRequest(), time.Second, fixedPermit(false)); result.status != policy.NotSent {
+	if result := u.roundTrip(t.Context(), incarnationAt(s.addr), pushRequest(),
+		time.Second, fixedPermit(false)); result.status != policy.NotSent {
 		t.Errorf("status %d, want NotSent", result.status)
 	}
 	// The connection has not been used; the next request is the first on it.
@@ -367,7 +378,8 @@
 	})
 	idleServer := newFakeServer(t, respondWith(okResponse("x"), true))
 	u := newTestUpstream(t, 1)
-	if result := u.roundTrip(t.Context(), incarnationAt(idleServer.addr), getRequest(), time.Second, allowWrite); result.status != policy.OK {
+	if result := u.roundTrip(t.Context(), incarnationAt(idleServer.addr), getRequest(),
+		time.Second, allowWrite); result.status != policy.OK {
 		t.Fatalf("status %d, want OK", result.status)
 	}
 	done := make(chan attemptResult, 1)
@@ -375,7 +387,8 @@
 		done <- u.roundTrip(context.Background(), incarnationAt(busyServer.addr), getRequest(), time.Second, allowWrite)
 	}()
 	waitFor(t, "request at the busy server", func() bool { return busyServer.requests.Load() == 1 })
-	if result := u.roundTrip(t.Context(), incarnationAt(idleServer.addr), getRequest(), time.Second, allowWrite); result.status != policy.NotSent {
+	if result := u.roundTrip(t.Context(), incarnationAt(idleServer.addr), getRequest(),
+		time.Second, allowWrite); result.status != policy.NotSent {
 		t.Errorf("status %d over the limit, want NotSent", result.status)
 	}
 	close(hold)
@@ -411,7 +424,7 @@
 
 func (p *slowPermit) finishWrite() {}
 
-// Guards against telling a server too much time left: the time that passes until the connection comes up
+// Guards against a request that states too much time left: the time that passes until the connection comes up
 // is subtracted.
 func TestTimeLeftIsComputedWhenTheRequestIsWritten(t *testing.T) {
 	timeLeftHeader := make(chan string, 1)
@@ -427,7 +440,8 @@
 	const wait = 2 * time.Second
 	permit := slowPermit{delay: 200 * time.Millisecond}
 	startedAt := time.Now()
-	if result := newTestUpstream(t, 8).roundTrip(t.Context(), incarnationAt(l.Addr().String()), getRequest(), wait, &permit); result.status != policy.OK {
+	if result := newTestUpstream(t, 8).roundTrip(t.Context(), incarnationAt(l.Addr().String()), getRequest(),
+		wait, &permit); result.status != policy.OK {
 		t.Fatalf("status %d", result.status)
 	}
 	seconds, err := strconv.ParseFloat(<-timeLeftHeader, 64)
@@ -435,6 +449,6 @@
 		t.Fatal(err)
 	}
 	if timeLeft := wait - permit.readyAt.Sub(startedAt); seconds > timeLeft.Seconds()+0.001 {
-		t.Errorf("the server is told %.3f s, %.3f s are left", seconds, timeLeft.Seconds())
+		t.Errorf("the request states %.3f s left, want at most %.3f s", seconds, timeLeft.Seconds())
 	}
 }
