--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -40,7 +40,7 @@
 // deadline of a request is therefore earlier than the client's, and between the two the loop answers
 // each request that has no answer yet.
 const (
-	// policyDeadlineMargin is the longest time between the Balancer's deadline and the client's.
+	// balancerDeadlineMargin is the longest time between the Balancer's deadline and the client's.
 	balancerDeadlineMargin = 12 * time.Millisecond
 	// answerDeadlineMargin is the longest time between the loop's own answer and the client's deadline.
 	answerDeadlineMargin = 4 * time.Millisecond
--- a/policy/discovery_faults_test.go
+++ b/policy/discovery_faults_test.go
@@ -26,7 +26,7 @@
 	lateRefuseAfter time.Duration // time after which a call is refused late; 0: 2 s
 }
 
-// modelChange is a change that discovery has, with the time by which the node has to know it.
+// discoveryChange is a change that discovery has, with the time by which the node has to know it.
 type discoveryChange struct{ madeAt, deadline time.Duration }
 
 // discoveryRun runs a node against a model of discovery.
@@ -47,7 +47,7 @@
 	faultCycleSince time.Duration    // start of faultCycle
 }
 
-// modelCall is a call of the node that is in flight.
+// discoveryCall is a call of the node that is in flight.
 type discoveryCall struct {
 	sinceVersion  int
 	arrivesAt     time.Duration // time at which it reaches discovery
